--- a/radishfield/routing/_directory.py
+++ b/radishfield/routing/_directory.py
@@ -1,11 +1,12 @@
-"""Which targets may be sent work, from what the store lists and what calls show.
-
-Load pattern: targets are released, added, emptied and killed while requests flow,
-and the store that lists them has outages of its own.  Two mistakes cost most.  A
-target that leaves and is sent work cuts it off when it exits; so leaving sticks to
-an incarnation, whatever a later entry says.  And entries that lapse because the
-store was away would empty the list at once; so a target that is missing right
-after an outage is used on for a moment, in which live targets register again.
+"""Tracks which targets may be sent work, from the store's list and call results.
+
+Targets are released, added, emptied and killed while requests are being served, and
+the store that lists them has outages of its own.  Two mistakes are the most costly.
+Work sent to a leaving target is aborted when the target exits, so an incarnation
+that was once leaving stays leaving, whatever a later entry says.  Entries that
+expire because the store was down would empty the list at once, so a target that is
+missing right after an outage is still used for a short time, in which live targets
+register again.
 """
 
 import zlib
@@ -16,36 +17,37 @@
 
 from radishfield.routing._types import TargetPhase, TargetRecord
 
-RETURN_S = 1.5
-"""Live targets register again within two seconds of the store's return, and work
-may reach a target that is gone for as long; the rest is room for the way there."""
+REGISTRATION_GRACE_S = 1.5
+"""Time for which a missing target is still used.  Live targets register again within
+two seconds of the store's return, and work may reach a target that is gone for as
+long; the remaining half second allows for the transit of requests."""
 
-AFTER_OUTAGE_S = 4.0
-"""Entries that lapse this long after the store's last failure count as its doing:
-three missed heartbeats, the time after which the store drops an entry."""
+OUTAGE_EXPIRY_S = 4.0
+"""Time after the store's last failure in which expired entries are attributed to the
+outage: three missed heartbeats, after which the store drops an entry."""
 
-FIRST_SUSPICION_S = 1.0
-LONGEST_SUSPICION_S = 4.0
-"""A target that could not be reached is left out this long; doubled each time it
-fails again.  Longer would keep a target out that was started again."""
+MIN_SUSPICION_S = 1.0
+MAX_SUSPICION_S = 4.0
+"""Time for which an unreachable target is excluded: starts at the minimum and doubles
+with each further failure.  A longer maximum would keep excluding a restarted target."""
 
 
-RECENT_DIGESTS = 64
-"""Changes of the list after which an earlier one is forgotten: as many as come in the
-second or two in which a change reaches all hosts of a zone."""
+MAX_RECENT_DIGESTS = 64
+"""Number of earlier digests that are kept: as many list changes as occur in the second
+or two in which a change reaches all hosts of a zone."""
 
-ANSWER_TOLD_S = 2.0
-"""Time for which others are told of an answer: each host of a large zone is told
-twice in it."""
+ANSWER_REPORTED_S = 2.0
+"""Time for which an answer is reported to other hosts: each host of a large zone
+receives the report twice in it."""
 
-ZONE_LOST = 3
-"""Targets of one zone that are lost at the same time, from which on the whole zone
-counts as cut off.  Found out one by one, twenty targets would cost each host twenty
-requests and a connection's time limit each."""
+MIN_ZONE_UNREACHABLE = 3
+"""Number of simultaneously unreachable targets from which a zone counts as
+disconnected.  Detected one by one, twenty targets would cost each host twenty requests
+and a connection timeout for each."""
 
-ZONE_LOST_SHARE = 0.25
-"""Part of a zone's targets that has to be lost as well, so that three dead targets
-of a large zone do not cost it the others."""
+MIN_ZONE_UNREACHABLE_SHARE = 0.25
+"""Share of a zone's targets that must also be unreachable, so that three dead targets
+of a large zone do not exclude the others."""
 
 
 class _Entry(msgspec.Struct):
@@ -59,24 +61,24 @@
     until_asked: bool
     first_hand: bool
     inferred: bool = False
-    asking: bool = False
-    told: bool = False
+    probing: bool = False
+    answer_reported: bool = False
 
     @property
-    def began_at(self) -> float:
-        """Return when the target was found lost, or asked, last."""
-        return self.until - (FIRST_SUSPICION_S if self.asking else self.length_s)
+    def started_at(self) -> float:
+        """Return when the target was last found unreachable, or last probed."""
+        return self.until - (MIN_SUSPICION_S if self.probing else self.length_s)
 
 
 class Removal(msgspec.Struct, frozen=True):
-    """A target left the list; ``held`` if it is used on for a moment."""
+    """A target that left the list; ``held`` if it is still used for a short time."""
 
     id: str
     held: bool
 
 
 class TargetDirectory(msgspec.Struct):
-    """All targets that are known, by id."""
+    """All known targets by id."""
 
     _entry_by_id: dict[str, _Entry] = msgspec.field(default_factory=dict)
     _leaving: set[tuple[str, int]] = msgspec.field(default_factory=set)
@@ -85,35 +87,36 @@
     _store_failed_at: float = -1e9
     _digest: int = 0
     _recent_digests: deque[int] = msgspec.field(
-        default_factory=lambda: deque(maxlen=RECENT_DIGESTS)
+        default_factory=lambda: deque(maxlen=MAX_RECENT_DIGESTS)
     )
     version: int = 0
-    """Rises with each change of the list, for what is computed from it."""
+    """Increases with each change of the list or of a target's state, to invalidate
+    what is computed from them."""
     list_version: int = 0
-    """Rises only when a target comes, goes or describes itself otherwise."""
+    """Increases only when a target is added or removed or its record changes."""
 
     def store_failed(self, now: float) -> None:
-        """Note that the store did not answer."""
+        """Record that the store did not answer."""
         self._store_failed_at = now
 
     def replace_all(
         self, record_by_id: Mapping[str, TargetRecord], now: float
     ) -> list[Removal]:
-        """Take a whole listing; return what is missing in it."""
-        gone = [
+        """Apply a complete listing; return the targets that are missing from it."""
+        removals = [
             self.remove(target_id, now)
             for target_id, entry in list(self._entry_by_id.items())
             if target_id not in record_by_id and entry.missing_since is None
         ]
         for record in record_by_id.values():
             self.update(record)
-        return gone
+        return removals
 
     def update(self, record: TargetRecord) -> bool:
-        """Take a target's newest entry; return whether it says anything new.
+        """Apply a target's newest entry; return whether it differs from the last one.
 
-        Each heartbeat writes the entry again.  Taken for a change it would have
-        every plan made anew, some times a second with ninety targets.
+        Each heartbeat rewrites the entry.  If that counted as a change, all plans
+        would be recomputed several times a second with ninety targets.
         """
         before = self._entry_by_id.get(record.id)
         if before is not None and before.record == record:
@@ -121,13 +124,13 @@
             return False
         if record.phase is TargetPhase.LEAVING:
             self._leaving.add(record.incarnation)
-        if before is not None and _started_again(before.record, record):
+        if before is not None and _restarted(before.record, record):
             self._suspicion_by_id.pop(record.id, None)
         self._put(record.id, _Entry(record))
         return True
 
     def _put(self, target_id: str, entry: _Entry | None) -> None:
-        """Put an entry in place of the one before, or take it off the list."""
+        """Replace a target's entry, or remove it from the list if None."""
         before = self._entry_by_id.pop(target_id, None)
         if entry is not None:
             self._entry_by_id[target_id] = entry
@@ -139,54 +142,55 @@
         self.list_version += 1
 
     def digest(self) -> int:
-        """Return a number that hosts with the same list share."""
+        """Return a checksum that is equal on hosts with the same list."""
         return self._digest
 
     def has_had(self, digest: int) -> bool:
-        """Return whether the list is, or was a few changes ago, the one of a digest.
+        """Return whether a digest is that of the current list or of a recent one.
 
-        Load pattern: targets come by tens, and each change reaches the hosts of a zone
-        at another moment.  No two lists are alike for seconds; taken for hosts that
-        miss something, all of them would read the store.
+        When targets are added by tens, each change reaches the hosts of a zone at a
+        different time and no two lists are equal for seconds.  If those hosts were
+        assumed to have missed an update, all of them would read the store.
         """
         return digest == self._digest or digest in self._recent_digests
 
     def remove(self, target_id: str, now: float) -> Removal:
-        """Take a target off the list, or hold it where the store may be to blame."""
+        """Remove a target, or hold it if a store outage may have expired its entry."""
         entry = self._entry_by_id.get(target_id)
         if entry is None:
             return Removal(target_id, held=False)
-        if now - self._store_failed_at < AFTER_OUTAGE_S:
+        if now - self._store_failed_at < OUTAGE_EXPIRY_S:
             entry.missing_since = now
             return Removal(target_id, held=True)
         self._put(target_id, None)
         return Removal(target_id, held=False)
 
     def expire_missing(self, now: float) -> list[str]:
-        """Drop the targets that did not come back; return their ids."""
-        late = [
+        """Drop held targets that did not register again in time; return their ids."""
+        expired_ids = [
             target_id
             for target_id, entry in self._entry_by_id.items()
-            if entry.missing_since is not None and now - entry.missing_since >= RETURN_S
+            if entry.missing_since is not None
+            and now - entry.missing_since >= REGISTRATION_GRACE_S
         ]
-        for target_id in late:
+        for target_id in expired_ids:
             self._put(target_id, None)
-        return late
+        return expired_ids
 
     def mark_leaving(self, incarnation: tuple[str, int]) -> None:
-        """Note what another host knows: this start of a target leaves."""
+        """Record another host's report that this incarnation of a target leaves."""
         if incarnation not in self._leaving:
             self._leaving.add(incarnation)
             self.version += 1
 
     def leaves(self, record: TargetRecord) -> bool:
-        """Return whether this start of a target leaves, or is off the list."""
+        """Return whether this incarnation of a target leaves or is not listed."""
         entry = self._entry_by_id.get(record.id)
         listed = entry is not None and entry.record.incarnation == record.incarnation
         return not listed or record.incarnation in self._leaving
 
     def leaving_incarnations(self) -> list[tuple[str, int]]:
-        """Return the listed targets that leave, each with its start."""
+        """Return the incarnations of the listed targets that leave."""
         return [
             entry.record.incarnation
             for entry in self._entry_by_id.values()
@@ -199,46 +203,47 @@
         now: float,
         until_asked: bool = False,
     ) -> float:
-        """Leave a target out for a while after a failure here; return the seconds.
+        """Exclude a target after a failure seen by this host; return the seconds.
 
         Parameters
         ----------
         until_asked : bool
-            Leave it out beyond that time, until it has answered a question.  A
-            dead part of a path swallows requests for seconds before it shows, so
-            it is not tried out with callers' work.
+            Exclude it beyond that time, until it has answered a probe.  A dead
+            stage of a path swallows requests for seconds before this is detected,
+            so it is not tested with callers' requests.
         """
         before = self._suspicion_by_id.get(target_id)
-        length_s = FIRST_SUSPICION_S
-        if before is not None and now < before.until and not before.asking:
+        length_s = MIN_SUSPICION_S
+        if before is not None and now < before.until and not before.probing:
             before.until_asked |= until_asked
             before.first_hand = True
             return before.until - now
         if before is not None and (
             before.until_asked or now < before.until + before.length_s
         ):
-            length_s = min(LONGEST_SUSPICION_S, before.length_s * 2)
+            length_s = min(MAX_SUSPICION_S, before.length_s * 2)
         self._suspicion_by_id[target_id] = _Suspicion(
             now + length_s, length_s, until_asked, first_hand=True
         )
         self.version += 1
-        self._infer_zone_lost(target_id, now)
+        self._exclude_unreachable_zone(target_id, now)
         return length_s
 
     def doubt(self, target_id: str, now: float) -> None:
-        """Leave a target out until it has been asked, which is due at once.
+        """Exclude a target until it has answered a probe, which is due at once.
 
-        For what another host says: it may have slept, or be cut off itself, and
-        what it found lost may have answered here a moment ago.
+        Used for another host's report: that host may have been suspended or be
+        disconnected itself, and the target that it reports as unreachable may have
+        answered this host a moment ago.
         """
         if not self.suspected(target_id, now):
             self._suspicion_by_id[target_id] = _Suspicion(
-                now, FIRST_SUSPICION_S / 2, until_asked=True, first_hand=False
+                now, MIN_SUSPICION_S / 2, until_asked=True, first_hand=False
             )
             self.version += 1
 
-    def _infer_zone_lost(self, target_id: str, now: float) -> None:
-        """Leave out a zone of which several targets are lost at once."""
+    def _exclude_unreachable_zone(self, target_id: str, now: float) -> None:
+        """Exclude the target's zone if enough of its targets are unreachable."""
         entry = self._entry_by_id.get(target_id)
         if entry is None:
             return
@@ -248,20 +253,24 @@
             for other_id, other in self._entry_by_id.items()
             if other.record.zone == zone
         ]
-        lost = [other_id for other_id in zone_ids if self._lost_now(other_id, now)]
-        if len(lost) < max(ZONE_LOST, len(zone_ids) * ZONE_LOST_SHARE):
+        unreachable_ids = [
+            other_id for other_id in zone_ids if self._unreachable_now(other_id, now)
+        ]
+        if len(unreachable_ids) < max(
+            MIN_ZONE_UNREACHABLE, len(zone_ids) * MIN_ZONE_UNREACHABLE_SHARE
+        ):
             return
         for other_id in zone_ids:
             if not self.suspected(other_id, now):
                 self._suspicion_by_id[other_id] = _Suspicion(
-                    now + FIRST_SUSPICION_S,
-                    FIRST_SUSPICION_S,
+                    now + MIN_SUSPICION_S,
+                    MIN_SUSPICION_S,
                     until_asked=True,
                     first_hand=False,
                     inferred=True,
                 )
 
-    def _lost_now(self, target_id: str, now: float) -> bool:
+    def _unreachable_now(self, target_id: str, now: float) -> bool:
         suspicion = self._suspicion_by_id.get(target_id)
         return (
             suspicion is not None
@@ -270,79 +279,81 @@
         )
 
     def clear(self, target_id: str) -> None:
-        """Forget a suspicion: the target answered."""
+        """Delete the suspicion of a target that answered."""
         if self._suspicion_by_id.pop(target_id, None) is not None:
             self.version += 1
 
     def answered(self, target_id: str, now: float) -> None:
-        """Note an answer to a question; it ends a suspicion that waits for one."""
+        """Record an answer to a probe, which ends the target's suspicion."""
         suspicion = self._suspicion_by_id.get(target_id)
         if suspicion is None:
             return
         if suspicion.until_asked:
             self._answered_at_by_id[target_id] = now
-        # The length stays for a while, so that the next one is longer.
+        # The suspicion is kept for a while, so that the next one lasts longer.
         suspicion.until_asked = False
         suspicion.until = min(suspicion.until, now)
         self.version += 1
         entry = self._entry_by_id.get(target_id)
         if entry is not None and suspicion.inferred:
-            self._trust_zone(entry.record.zone)
+            self._restore_zone(entry.record.zone)
 
-    def _trust_zone(self, zone: str) -> None:
-        """Take a zone back: one of its targets answered."""
+    def _restore_zone(self, zone: str) -> None:
+        """Drop the inferred suspicions of a zone in which a target answered."""
         for target_id, entry in self._entry_by_id.items():
             suspicion = self._suspicion_by_id.get(target_id)
             if suspicion and suspicion.inferred and entry.record.zone == zone:
                 del self._suspicion_by_id[target_id]
 
     def suspected(self, target_id: str, now: float) -> bool:
-        """Return whether a target is left out at the moment."""
+        """Return whether a target is excluded now."""
         suspicion = self._suspicion_by_id.get(target_id)
         return suspicion is not None and (
             suspicion.until_asked or now < suspicion.until
         )
 
     def found_lost(self, target_id: str) -> bool:
-        """Return whether this host itself found a target lost, and no answer since."""
+        """Return whether this host found a target unreachable, with no answer since."""
         suspicion = self._suspicion_by_id.get(target_id)
         return suspicion is not None and suspicion.first_hand and suspicion.until_asked
 
-    def to_ask(self, now: float, patience_s: float = 0.0) -> list[str]:
-        """Return the targets that are left out until they answer, and are due.
+    def to_ask(self, now: float, extra_delay_s: float = 0.0) -> list[str]:
+        """Return the targets that are excluded until they answer and due for a probe.
 
         Parameters
         ----------
-        patience_s : float
-            Seconds beyond that which this host leaves to others, that ask as well
-            and tell what they find.
+        extra_delay_s : float
+            Additional seconds before a probe is due, in which other hosts may probe
+            the target and report the result.
         """
         return [
             target_id
             for target_id, suspicion in self._suspicion_by_id.items()
             if suspicion.until_asked
-            and now >= suspicion.until + (0.0 if suspicion.told else patience_s)
+            and now
+            >= suspicion.until + (0.0 if suspicion.answer_reported else extra_delay_s)
             and target_id in self._entry_by_id
         ]
 
     def answered_elsewhere(self, target_id: str, now: float) -> None:
-        """Note that another host of the zone had an answer: it is asked at once.
+        """Make a probe due at once after another host of the zone had an answer.
 
-        The word alone proves nothing for this host, whose own way may be cut.
+        The report alone does not end the suspicion, since this host's own connection
+        to the target may be down.
         """
         suspicion = self._suspicion_by_id.get(target_id)
         if suspicion is None or not suspicion.until_asked:
             return
-        if now - suspicion.began_at >= FIRST_SUSPICION_S:
+        if now - suspicion.started_at >= MIN_SUSPICION_S:
             suspicion.until = min(suspicion.until, now)
-            suspicion.told = True
+            suspicion.answer_reported = True
 
     def answered_lately(self, now: float) -> list[tuple[str, int]]:
-        """Return the targets that were left out and have answered, for others."""
+        """Return the once excluded targets that answered recently, for other hosts."""
         self._answered_at_by_id = {
             target_id: at
             for target_id, at in self._answered_at_by_id.items()
-            if now - at < ANSWER_TOLD_S and target_id in self._entry_by_id
+            if now - at < ANSWER_REPORTED_S and target_id in self._entry_by_id
         }
         return [
             self._entry_by_id[target_id].record.incarnation
@@ -351,43 +362,43 @@
         ]
 
     def asked(self, target_id: str, now: float) -> None:
-        """Note that a target is being asked, so that it is not asked twice.
+        """Record that a target is being probed, so that it is not probed twice.
 
-        That alone is no failure: it is not told to others, and says nothing of
-        the target's zone.
+        A pending probe is no failure: it is not reported to other hosts and does not
+        count towards excluding the target's zone.
         """
         suspicion = self._suspicion_by_id.get(target_id)
         if suspicion is not None:
-            suspicion.until = now + FIRST_SUSPICION_S
-            suspicion.asking = True
-            suspicion.told = False
+            suspicion.until = now + MIN_SUSPICION_S
+            suspicion.probing = True
+            suspicion.answer_reported = False
 
     def lost_incarnations(self, now: float) -> list[tuple[str, int]]:
-        """Return the targets that this host itself found lost, for other hosts."""
+        """Return the targets this host found unreachable, to report to other hosts."""
         return [
             self._entry_by_id[target_id].record.incarnation
             for target_id, suspicion in self._suspicion_by_id.items()
             if suspicion.first_hand
             and suspicion.until_asked
-            and not suspicion.asking
+            and not suspicion.probing
             and now < suspicion.until
             and target_id in self._entry_by_id
         ]
 
     def find(self, target_id: str) -> TargetRecord | None:
-        """Return a target that is listed or held, whatever its state."""
+        """Return a target that is listed or held, in any state."""
         entry = self._entry_by_id.get(target_id)
         return entry.record if entry else None
 
     def at_address(self, address: str) -> TargetRecord | None:
-        """Return the target that is listed at an address."""
+        """Return the target that is listed or held at an address."""
         for entry in self._entry_by_id.values():
             if entry.record.address == address:
                 return entry.record
         return None
 
     def listed(self, service: str) -> list[TargetRecord]:
-        """Return a service's targets that do not leave, suspected or not."""
+        """Return a service's targets that are not leaving, suspected or not."""
         return [
             entry.record
             for entry in self._entry_by_id.values()
@@ -404,11 +415,11 @@
         ]
 
     def all_records(self) -> Iterable[TargetRecord]:
-        """Return every target that is listed or held."""
+        """Return all targets that are listed or held."""
         return (entry.record for entry in self._entry_by_id.values())
 
 
-def _started_again(before: TargetRecord, now: TargetRecord) -> bool:
-    """Return whether a target is another one than before, or came back empty."""
+def _restarted(before: TargetRecord, now: TargetRecord) -> bool:
+    """Return whether a target has a new incarnation or returned without layers."""
     emptied = before.span is not None and now.span is None
     return before.incarnation != now.incarnation or emptied
--- a/radishfield/routing/_events.py
+++ b/radishfield/routing/_events.py
@@ -1,40 +1,40 @@
-"""Server-sent events as bytes: whole events out of chunks, and their ids.
+"""Splits byte streams into complete server-sent events and reads their ids.
 
-A target may stop in the middle of an event.  Only whole events are passed on, so
-that another target can go on after the last id without a torn event between.
+A target may stop in the middle of an event.  Only complete events are forwarded, so
+that another target can resume after the last id without a truncated event in between.
 """
 
 END_OF_EVENT = b"\n\n"
 
 
 class EventSplitter:
-    """Cuts a stream of bytes into whole events."""
+    """Splits a stream of bytes into complete events."""
 
-    __slots__ = ("_rest",)
+    __slots__ = ("_buffer",)
 
     def __init__(self):
-        self._rest = b""
+        self._buffer = b""
 
     def feed(self, chunk: bytes) -> bytes:
-        """Return the whole events that are complete now, as one piece."""
-        data = self._rest + chunk if self._rest else chunk
+        """Add a chunk; return all events that are now complete, concatenated."""
+        data = self._buffer + chunk if self._buffer else chunk
         end = data.rfind(END_OF_EVENT)
         if end < 0:
-            self._rest = data
+            self._buffer = data
             return b""
         end += len(END_OF_EVENT)
-        self._rest = data[end:]
-        whole = data[:end]
-        return whole
+        self._buffer = data[end:]
+        events = data[:end]
+        return events
 
     @property
     def torn(self) -> bool:
-        """Return whether bytes of an unfinished event are held."""
-        return bool(self._rest)
+        """Return whether bytes of an incomplete event are buffered."""
+        return bool(self._buffer)
 
 
 def event_ids(events: bytes) -> list[int]:
-    """Return the ids of whole events, in order."""
+    """Return the ids of complete events in order."""
     ids = []
     for line in events.split(b"\n"):
         if line.startswith(b"id:"):
--- a/radishfield/routing/_freshness.py
+++ b/radishfield/routing/_freshness.py
@@ -1,32 +1,33 @@
-"""How long a configuration that was read may still admit keys.
+"""Limits how long a configuration may admit keys after it was read.
 
-Load pattern: a host is cut off, frozen or served stale data while an operator
-takes a key away.  Without a bound of its own it would go on admitting the key for
-as long as the cut lasts.  A host therefore counts from the moment *before* it
-asked the store: whatever was accepted later may be missing in the answer.  The
-clock must count suspension, or a host that slept would trust an old answer.
+While an operator revokes a key, a host may be disconnected, frozen or served stale
+data.  Without a bound of its own it would admit the key for as long as that lasts.  A
+host therefore counts the age from *before* it sent the request to the store: any
+change that was accepted later may be missing from the answer.  The clock must
+include time in suspension, or a suspended host would trust an old answer.
 """
 
 import math
 
 import msgspec
 
-MARGIN_S = 0.1
-"""What two clocks may drift apart over the bound.  No time on the way needs room:
-the bound is on when a caller sent its request, which was before it arrived here."""
+CLOCK_DRIFT_S = 0.1
+"""Allowance for the drift of two clocks over the bound.  None is needed for transit:
+the bound applies to when a caller sent its request, which is before it arrives."""
 
 
 class Freshness(msgspec.Struct):
-    """When the configuration in force was last known to be the newest.
+    """Time at which the active configuration was last known to be the newest.
 
     Attributes
     ----------
     bound_s : float
-        Seconds after which a key that was taken away must be refused everywhere.
+        Seconds after which a revoked key must be refused everywhere.
     confirmed_at : float or None
-        When the view was last known to be the newest, by anybody's word.
+        When the configuration was last known to be the newest, confirmed by the
+        store or by a peer.
     answered_at, failing_since : float or None
-        When the store itself last answered, and since when it has not.
+        When the store itself last answered, and since when all calls to it fail.
     """
 
     bound_s: float
@@ -35,18 +36,18 @@
     failing_since: float | None = None
 
     def confirm(self, asked_at: float, answered_at: float) -> None:
-        """Note an answer of the store to a call that was sent at ``asked_at``."""
+        """Record the store's answer to a call that was sent at ``asked_at``."""
         self.answered_at = answered_at
         self.failing_since = None
         self.confirm_by_peer(asked_at)
 
     def failed(self, now: float) -> None:
-        """Note a call to the store that failed."""
+        """Record a failed call to the store."""
         if self.failing_since is None:
             self.failing_since = now
 
     def confirm_by_peer(self, asked_at: float) -> None:
-        """Note that the view was the newest at ``asked_at``, by anybody's word."""
+        """Record that the configuration was confirmed as the newest at ``asked_at``."""
         if self.confirmed_at is None or asked_at > self.confirmed_at:
             self.confirmed_at = asked_at
 
@@ -61,9 +62,9 @@
         return math.inf if self.answered_at is None else now - self.answered_at
 
     def failing_s(self, now: float) -> float:
-        """Return for how long each call to the store has failed; 0 if none did."""
+        """Return for how long all calls to the store have failed; 0 if none did."""
         return 0.0 if self.failing_since is None else now - self.failing_since
 
     def admits_keys(self, arrived_at: float) -> bool:
-        """Return whether a known key was still valid for a request that arrived."""
-        return self.age_s(arrived_at) < self.bound_s - MARGIN_S
+        """Return whether known keys are still admitted for a request's arrival time."""
+        return self.age_s(arrived_at) < self.bound_s - CLOCK_DRIFT_S
--- a/radishfield/routing/_layout.py
+++ b/radishfield/routing/_layout.py
@@ -1,15 +1,16 @@
-"""Which target should hold which layers, for a service whose targets are empty.
-
-Load pattern: zones with unequal sets of cards, each of which may be cut off from
-the others, and cards that die one at a time.  So each zone first gets whole copies
-of the model, packed side by side, and only what is left over is spread where the
-fleet holds the fewest copies.  Layers are dealt in blocks of one size with common
-boundaries: any target can then stand in for a part of any other, and a path has
-few cuts to choose from.
-
-A card's memory is shared between layers and the cache of running requests.  Filled
-with layers it runs no requests, filled with cache it shortens no path; `FILL` is
-the middle, from which block size and blocks a card are derived.
+"""Plans which layers of a model each empty target should load.
+
+Zones have unequal sets of accelerators, any zone may be disconnected from the others,
+and accelerators fail one at a time.  So each zone first gets complete copies of the
+model, packed side by side, and only the remaining targets are placed where the fleet
+holds the fewest copies.  Layers are assigned in blocks of one size with common
+boundaries: any target can then replace a stage of any other, and a path has few
+boundaries to choose from.
+
+An accelerator's memory is shared between layers and the cache of running requests.
+Filled with layers it runs no requests, filled with cache it does not shorten any path;
+`MAX_LAYER_SHARE` is the compromise, from which the block size and the number of blocks
+for each accelerator are derived.
 """
 
 from collections.abc import Sequence
@@ -18,64 +19,72 @@
 
 from radishfield.routing._types import EngineSpec, LayerSpan, TargetRecord
 
-FILL = 0.68
-"""Most of a card's memory that layers take.  With the users' cards, two thirds for
-layers leave room for some forty requests of usual size on every part of a chain,
-as many as its steps carry in time; at 0.8 memory binds at half of that."""
+MAX_LAYER_SHARE = 0.68
+"""Largest share of an accelerator's memory used for layers.  With A100, L40S and
+L4, two thirds for layers leave memory for some forty requests of typical size on every
+stage of a chain, as many as its steps can serve on time; at 0.8 memory limits it to
+half as many."""
 
-WASTE = 0.05
-"""Share of the cards' memory that larger blocks may leave unused: what they save
-in cuts is worth more than a twentieth of a copy."""
+MAX_UNUSED_SHARE = 0.05
+"""Share of the accelerators' memory that larger blocks may leave unused: having fewer
+stage boundaries is worth more than a twentieth of a copy."""
 
 
 class Assignment(msgspec.Struct, frozen=True):
-    """A target that should hold layers that it does not hold."""
+    """A target and the layers that it should load."""
 
     target: TargetRecord
     span: LayerSpan
 
 
 def block_layers(engine: EngineSpec) -> int:
-    """Return the block size that wastes the least of the cards' memory.
+    """Return the largest block size that uses the accelerators' memory well.
 
-    Larger blocks are better where they waste no more: fewer cuts, shorter paths.
+    A larger size is preferred if it leaves at most `MAX_UNUSED_SHARE` more of the
+    memory unused than the best one: it gives fewer stage boundaries, shorter paths.
     """
     sizes = [size for size in range(1, engine.layers + 1) if engine.layers % size == 0]
-    most = max(_used(engine, size) for size in sizes)
-    return max(size for size in sizes if _used(engine, size) >= most - WASTE)
-
-
-def blocks_of(engine: EngineSpec, record: TargetRecord, size: int) -> int:
-    """Return the blocks that fit a target's card, at most the whole model."""
-    card = engine.accelerator_by_name.get(record.accelerator)
-    if card is None:
+    best = max(_memory_share_used(engine, size) for size in sizes)
+    return max(
+        size
+        for size in sizes
+        if _memory_share_used(engine, size) >= best - MAX_UNUSED_SHARE
+    )
+
+
+def count_fitting_blocks(engine: EngineSpec, record: TargetRecord, size: int) -> int:
+    """Return how many blocks fit a target's accelerator, at most all of the model."""
+    accelerator = engine.accelerator_by_name.get(record.accelerator)
+    if accelerator is None:
         return 0
-    blocks = int(card.memory_mb * FILL / (engine.layer_mb * size))
+    blocks = int(accelerator.memory_mb * MAX_LAYER_SHARE / (engine.layer_mb * size))
     return min(blocks, engine.layers // size)
 
 
 def plan_layout(
     engine: EngineSpec, records: Sequence[TargetRecord]
 ) -> list[Assignment]:
-    """Return what the empty targets should hold, given what the others hold."""
+    """Return the layers to load on empty targets, given what the others hold."""
     size = block_layers(engine)
     blocks = engine.layers // size
-    copies = _held(records, size, blocks)
+    copies = _count_copies(records, size, blocks)
     empty = [record for record in records if record.span is None]
     assignments: list[Assignment] = []
     for zone in sorted({record.zone for record in records}):
-        own = [record for record in empty if record.zone == zone]
-        own.sort(key=lambda record: (-blocks_of(engine, record, size), record.id))
-        while own:
-            record = own.pop(0)
-            width = blocks_of(engine, record, size)
+        zone_empty = [record for record in empty if record.zone == zone]
+        zone_empty.sort(
+            key=lambda record: (-count_fitting_blocks(engine, record, size), record.id)
+        )
+        while zone_empty:
+            record = zone_empty.pop(0)
+            width = count_fitting_blocks(engine, record, size)
             if width == 0:
                 continue
-            first = copies.neediest(zone, width)
+            first = copies.least_replicated(zone, width)
             span = LayerSpan(first * size, (first + width) * size)
             copies.count(zone, span, size)
             assignments.append(Assignment(record, span))
-    return _most_needed_first(assignments, _held(records, size, blocks), size)
+    return _most_needed_first(assignments, _count_copies(records, size, blocks), size)
 
 
 def next_loads(
@@ -83,19 +92,19 @@
 ) -> Sequence[Assignment]:
     """Return the assignments whose loads should start now.
 
-    Load pattern: a quarter of the targets comes back empty at once.  The store of
-    weights serves a few loads at full speed and slows all of them down beyond that,
-    so loads that start together end together, late; one after the other the first
-    zone has a whole copy in the time of its own loads.
+    A quarter of the targets may return empty at once.  The weight store serves a few
+    loads at full speed and slows all of them down beyond that, so loads that start
+    together all end late.  Started one after the other, the first zone has a complete
+    copy in the time of its own loads.
 
     Parameters
     ----------
     assignments : sequence of Assignment
         The most needed first, as `plan_layout` returns them.
     loading : int
-        Loads that are under way.
+        Number of loads in progress.
     concurrent : int
-        Loads that the store of weights serves at full speed.
+        Number of loads that the weight store serves at full speed.
     """
     return assignments[: max(0, concurrent - loading)]
 
@@ -103,18 +112,19 @@
 def _most_needed_first(
     assignments: list[Assignment], held: "_Copies", size: int
 ) -> list[Assignment]:
-    """Put first what brings a path back, and then a path within a zone.
+    """Order assignments: first blocks missing in the fleet, then in their zone.
 
-    A zone that lacks little is whole again soonest.
+    The first restore a path at all, the second a path within the zone.  Zones with
+    fewer missing blocks come first, since they are complete again soonest.
     """
 
     def rank(assignment: Assignment) -> tuple[bool, bool, int, str, int]:
         first, end = assignment.span.first // size, assignment.span.end // size
         zone = assignment.target.zone
         return (
-            held.fleet_least(first, end) > 0,
-            held.lacks(zone, first, end) == 0,
-            held.lacks(zone, 0, held.blocks),
+            held.min_fleet_copies(first, end) > 0,
+            held.missing_blocks(zone, first, end) == 0,
+            held.missing_blocks(zone, 0, held.blocks),
             zone,
             -len(assignment.span),
         )
@@ -122,8 +132,8 @@
     return sorted(assignments, key=rank)
 
 
-def _held(records: Sequence[TargetRecord], size: int, blocks: int) -> "_Copies":
-    """Return the copies that the targets hold now."""
+def _count_copies(records: Sequence[TargetRecord], size: int, blocks: int) -> "_Copies":
+    """Count the copies that the targets hold now."""
     copies = _Copies(blocks)
     for record in records:
         if record.span is not None:
@@ -132,19 +142,19 @@
 
 
 def plan_move(engine: EngineSpec, records: Sequence[TargetRecord]) -> Assignment | None:
-    """Return the one move of layers that helps most, or None.
-
-    Load pattern: targets leave for good, and no empty one comes.  A zone that lacks
-    a block sends every prompt across the links and back; a fleet that holds a block
-    half as often as the others is as slow as that block.  A target moves only if
-    its own zone keeps another copy of all it gives up, and only to what is missing
-    in its zone or held at least two times less often in the fleet: a move costs a
-    load of weights, and its target serves nothing meanwhile.
+    """Return one target and the layers it should hold instead, or None.
+
+    Targets may leave permanently without an empty one replacing them.  A zone without
+    a copy of a block sends every prompt across the links and back, and a fleet that
+    holds a block half as often as the others is as slow as that block.  A target moves
+    only if its own zone keeps another copy of each block it gives up, and only to
+    blocks that are missing in its zone or have at least two copies fewer in the fleet:
+    a move costs a load of weights, and its target serves nothing meanwhile.
     """
     size = block_layers(engine)
-    copies = _held(records, size, engine.layers // size)
+    copies = _count_copies(records, size, engine.layers // size)
     placed = [record for record in records if record.span is not None]
-    # The smallest are loaded soonest and give up least.
+    # The smallest spans load fastest and give up the fewest layers.
     for record in sorted(placed, key=lambda item: (len(item.span), item.id)):
         span = _better_span(copies, record, size)
         if span is not None:
@@ -158,36 +168,36 @@
     if record.span.first % size or record.span.end % size:
         return None
     first, end = record.span.first // size, record.span.end // size
-    if copies.least(record.zone, first, end) < 2:
+    if copies.min_copies(record.zone, first, end) < 2:
         return None
     copies.count(record.zone, record.span, size, sign=-1)
-    place = copies.neediest(record.zone, end - first)
-    gains = copies.lacks(record.zone, place, place + end - first)
-    losses = copies.lacks(record.zone, first, end)
-    there = copies.fleet_least(place, place + end - first)
-    here = copies.fleet_least(first, end)
+    new_first = copies.least_replicated(record.zone, end - first)
+    gains = copies.missing_blocks(record.zone, new_first, new_first + end - first)
+    losses = copies.missing_blocks(record.zone, first, end)
+    copies_there = copies.min_fleet_copies(new_first, new_first + end - first)
+    copies_here = copies.min_fleet_copies(first, end)
     copies.count(record.zone, record.span, size)
-    if gains > losses or (gains == losses and there + 2 <= here):
-        return LayerSpan(place * size, (place + end - first) * size)
+    if gains > losses or (gains == losses and copies_there + 2 <= copies_here):
+        return LayerSpan(new_first * size, (new_first + end - first) * size)
     return None
 
 
-def _used(engine: EngineSpec, size: int) -> float:
-    """Return the mean share of the cards' memory that layers in such blocks take."""
+def _memory_share_used(engine: EngineSpec, size: int) -> float:
+    """Return the mean share of accelerator memory that blocks of this size fill."""
     shares = []
-    for card in engine.accelerator_by_name.values():
+    for accelerator in engine.accelerator_by_name.values():
         blocks = min(
-            int(card.memory_mb * FILL / (engine.layer_mb * size)),
+            int(accelerator.memory_mb * MAX_LAYER_SHARE / (engine.layer_mb * size)),
             engine.layers // size,
         )
         if blocks == 0:
             return 0.0
-        shares.append(blocks * size * engine.layer_mb / card.memory_mb)
+        shares.append(blocks * size * engine.layer_mb / accelerator.memory_mb)
     return sum(shares) / max(1, len(shares))
 
 
 class _Copies:
-    """Copies of each block, by zone."""
+    """Number of copies of each block, by zone."""
 
     __slots__ = ("_count_by_zone", "blocks")
 
@@ -196,48 +206,48 @@
         self._count_by_zone: dict[str, list[int]] = {}
 
     def count(self, zone: str, span: LayerSpan, size: int, sign: int = 1) -> None:
-        """Count a target's layers; a block that is held in part does not count."""
-        counts = self._of(zone)
+        """Add a target's blocks; a block that is held only in part does not count."""
+        counts = self._zone_counts(zone)
         for block in range(-(-span.first // size), span.end // size):
             counts[block] += sign
 
-    def least(self, zone: str, first: int, end: int) -> int:
-        """Return the fewest copies of a block that a zone has."""
-        return min(self._of(zone)[first:end])
+    def min_copies(self, zone: str, first: int, end: int) -> int:
+        """Return a zone's smallest number of copies among a range of blocks."""
+        return min(self._zone_counts(zone)[first:end])
 
-    def lacks(self, zone: str, first: int, end: int) -> int:
-        """Return how many of some blocks a zone has no copy of."""
-        return self._of(zone)[first:end].count(0)
+    def missing_blocks(self, zone: str, first: int, end: int) -> int:
+        """Return how many blocks in a range have no copy in a zone."""
+        return self._zone_counts(zone)[first:end].count(0)
 
-    def fleet_least(self, first: int, end: int) -> int:
-        """Return the fewest copies of a block that the fleet has."""
-        return min(self._fleet()[first:end])
+    def min_fleet_copies(self, first: int, end: int) -> int:
+        """Return the fleet's smallest number of copies among a range of blocks."""
+        return min(self._fleet_counts()[first:end])
 
-    def neediest(self, zone: str, width: int) -> int:
-        """Return the first block of the place that lacks copies the most.
+    def least_replicated(self, zone: str, width: int) -> int:
+        """Return the first block of the range of ``width`` with the fewest copies.
 
-        First the zone's own lack decides, so that a zone that is cut off has whole
-        copies; among equals the fleet's, so that what the zones have left over
-        joins to further copies.
+        Copies within the zone are compared first, so that a disconnected zone has
+        complete copies; ties are decided by copies in the fleet, so that the targets
+        left over in several zones together form further copies.
         """
-        own = self._of(zone)
-        fleet = self._fleet()
-        places = range(self.blocks - width + 1)
+        zone_counts = self._zone_counts(zone)
+        fleet_counts = self._fleet_counts()
+        starts = range(self.blocks - width + 1)
         return min(
-            places,
-            key=lambda at: (
-                max(own[at : at + width]),
-                sum(own[at : at + width]),
-                sum(fleet[at : at + width]),
-                at,
+            starts,
+            key=lambda start: (
+                max(zone_counts[start : start + width]),
+                sum(zone_counts[start : start + width]),
+                sum(fleet_counts[start : start + width]),
+                start,
             ),
         )
 
-    def _fleet(self) -> list[int]:
+    def _fleet_counts(self) -> list[int]:
         zones = self._count_by_zone.values()
         if not zones:
             return [0] * self.blocks
         return [sum(counts) for counts in zip(*zones, strict=True)]
 
-    def _of(self, zone: str) -> list[int]:
+    def _zone_counts(self, zone: str) -> list[int]:
         return self._count_by_zone.setdefault(zone, [0] * self.blocks)
--- a/radishfield/routing/_leaving.py
+++ b/radishfield/routing/_leaving.py
@@ -1,42 +1,47 @@
-"""Whether a host that was told to leave still takes a request.
+"""Decides whether a host that is shutting down still accepts a request.
 
-Load pattern: a host leaves while the balancer, and callers with kept connections,
-go on sending for seconds.  Refused at once, that work would fail on a healthy
-fleet; taken to the end, streams that began late would be cut off with the process.
+While a host leaves, the load balancer and callers with persistent connections go on
+sending requests for seconds.  If these were refused at once, they would fail on a
+healthy fleet; if they were accepted until the end, streams that started late would be
+aborted when the process exits.
 """
 
 NOTICE_S = 2.8
-"""The balancer asks once a second and takes a host out after two misses; until then
-everything is taken, and callers count on it for three seconds."""
+"""Time for which a leaving host accepts all requests.  The load balancer probes once a
+second and removes a host after two failures; callers rely on acceptance for three
+seconds."""
 
 END_MARGIN_S = 0.5
-"""Time before the supervisor's kill that is left for the process to end itself."""
+"""Time reserved for the process to exit before the supervisor kills it."""
 
-LAST_REFUSALS_S = 0.3
-"""Time before its own end in which a host refuses what still waits at it."""
+FINAL_REFUSAL_S = 0.3
+"""Time before its exit in which a host refuses requests that are still waiting."""
 
 
-def takes_work(leaving_for_s: float | None, grace_s: float, longest_s: float) -> bool:
-    """Return whether a request is taken.
+def takes_work(
+    leaving_for_s: float | None, grace_s: float, max_duration_s: float
+) -> bool:
+    """Return whether a request is accepted.
 
     Parameters
     ----------
     leaving_for_s : float or None
-        Seconds since the host was told to leave; None while it stays.
-    longest_s : float
+        Seconds since the host was ordered to leave; None if it was not.
+    max_duration_s : float
         Longest time that the request may take.
     """
     if leaving_for_s is None or leaving_for_s < NOTICE_S:
         return True
-    return leaving_for_s + longest_s <= grace_s - END_MARGIN_S
+    return leaving_for_s + max_duration_s <= grace_s - END_MARGIN_S
 
 
 def ends_waits(leaving_for_s: float | None, grace_s: float) -> bool:
-    """Return whether requests that wait are refused, since the host ends soon.
+    """Return whether waiting requests are refused because the host exits soon.
 
-    Load pattern: all paths are full while a host leaves.  What still waits when the
-    process ends would be closed without an answer, though nothing of it ran.
+    All paths may be full while a host leaves.  The connections of requests that still
+    wait when the process exits would be closed without an answer, although none of
+    these requests was executed.
     """
     if leaving_for_s is None:
         return False
-    return leaving_for_s >= grace_s - END_MARGIN_S - LAST_REFUSALS_S
+    return leaving_for_s >= grace_s - END_MARGIN_S - FINAL_REFUSAL_S
--- a/radishfield/routing/_peer_freshness.py
+++ b/radishfield/routing/_peer_freshness.py
@@ -1,35 +1,35 @@
-"""What hosts that reach the store are worth to one that does not.
+"""Confirms a host's configuration through peers when it cannot reach the store.
 
-Load pattern: the store turns single hosts away, or a cut parts them from it, while
-it serves the others.  Such a host would refuse every key within seconds, though a
-neighbour knows that its configuration is the newest.  A neighbour's confirmation
-counts from the moment at which this host last asked it: the answer was made later
-than that, so a configuration that was confirmed ``age_s`` before the answer was made
-was confirmed no earlier than the question less ``age_s``, whatever the way there
-took and whatever the neighbour's clock shows.
+The store may reject single hosts, or a network partition may separate them from it,
+while it serves the others.  Such a host would refuse every key within seconds, although
+a peer knows that the host's configuration is the newest.  A peer's confirmation counts
+from the time at which this host last sent it a request: the answer was made later, so a
+configuration that was confirmed ``age_s`` before the answer was made was confirmed no
+earlier than the time of the request less ``age_s``, regardless of transit time and of
+the peer's clock.
 """
 
 import msgspec
 
-FAILING_S = 1.0
-"""Time for which every call to the store has failed, from which on this host sends
-callers to its neighbours: some retries, and half of what keys are admitted for."""
+MAX_FAILING_S = 1.0
+"""Time for which every call to the store must have failed before this host directs
+callers to its peers: several retries, and half of the time that keys are admitted."""
 
-SILENT_S = 3.0
-"""Time without an answer that means the same: a watch that waited its two seconds
-and was late by another."""
+MAX_SILENT_S = 3.0
+"""Time without an answer that has the same effect: a watch waits two seconds and may be
+late by one more."""
 
-FRESH_S = 2.6
-"""A neighbour that had an answer this lately reaches the store."""
+MAX_PEER_AGE_S = 2.6
+"""A peer with an answer from the store at most this long ago can reach the store."""
 
 
 class PeerConfirmation(msgspec.Struct, frozen=True):
-    """What another host says of its configuration.
+    """Another host's report on its configuration.
 
     Attributes
     ----------
     asked_at : float
-        When this host sent the question that the other one had heard last; on
+        When this host sent the last request that the other host had received, on
         this host's clock.
     """
 
@@ -39,10 +39,10 @@
 
 
 def confirmed_by_peer_at(confirmation: PeerConfirmation, version: int) -> float | None:
-    """Return when the version in force was confirmed, by another host.
+    """Return when another host confirmed the active version.
 
-    None where the other one has another version: an older one proves nothing, and a
-    newer one proves that this host's is not the newest.
+    None if the other host has a different version: an older one proves nothing, and a
+    newer one proves that this host's version is not the newest.
     """
     if confirmation.version != version:
         return None
@@ -50,25 +50,30 @@
 
 
 def sends_callers_away(
-    failing_s: float, silent_s: float, heard: int, freshest_s: float, ever_heard: bool
+    failing_s: float,
+    silent_s: float,
+    live_peers: int,
+    freshest_s: float,
+    any_peer_seen: bool,
 ) -> bool:
-    """Return whether callers are better served by other hosts.
+    """Return whether other hosts can serve callers better than this one.
 
     Parameters
     ----------
     failing_s, silent_s : float
         For how long this host's calls to the store have failed, and how long ago
         it had an answer.
-    heard : int
-        Hosts that were heard lately.
+    live_peers : int
+        Number of hosts from which messages were received recently.
     freshest_s : float
-        How long ago a host that was heard lately had an answer, at the least.
-    ever_heard : bool
-        Some host has been heard since the start, so that silence means a cut.
+        Shortest time since any of those hosts had an answer from the store.
+    any_peer_seen : bool
+        A message from some host has been received since the start, so that silence
+        now means that this host is disconnected.
     """
-    if failing_s < FAILING_S and silent_s < SILENT_S:
+    if failing_s < MAX_FAILING_S and silent_s < MAX_SILENT_S:
         return False
-    if heard:
-        # Where no host reaches the store, one is as good as another.
-        return freshest_s < FRESH_S
-    return ever_heard
+    if live_peers:
+        # If no host reaches the store, sending callers elsewhere gains nothing.
+        return freshest_s < MAX_PEER_AGE_S
+    return any_peer_seen
--- a/radishfield/routing/_table.py
+++ b/radishfield/routing/_table.py
@@ -1,7 +1,7 @@
-"""From a request's host name, path and key to its route and workspace.
+"""Finds the route and workspace of a request from its host name, path and key.
 
-The index is built once a version, so that a configuration with thousands of
-routes costs a request a few dictionary look-ups, not a scan.
+The index is built once per configuration version, so that with thousands of routes a
+request costs a few dictionary look-ups instead of a scan.
 """
 
 import msgspec
@@ -45,7 +45,7 @@
         return None
 
     def identify(self, route: RouteRule, key: str) -> Identity:
-        """Return whose request this is."""
+        """Return the workspace of a key, or why there is none."""
         if route.public or not self.config.keys_required:
             return NoKeyNeeded()
         return self.config.workspace_by_key.get(key) or UnknownKey()
--- a/radishfield/routing/_types.py
+++ b/radishfield/routing/_types.py
@@ -1,4 +1,4 @@
-"""What the router knows of routes, workspaces and targets: plain values."""
+"""Defines the value types for routes, workspaces and targets."""
 
 import enum
 from collections.abc import Mapping
@@ -8,18 +8,18 @@
 from radishfield.routing._links import Pair, pair_of
 
 LEAST_CALLER_PATIENCE_S = 2.0
-"""Callers of streams stay this long without an event, whatever their route says; by
-the users' page, like the two figures below."""
-OBJECTIVES_OF_PATIENCE = 4.0
-GAPS_OF_PATIENCE = 8.0
+"""Minimum time for which callers of streams wait for an event, on any route.  This and
+the two factors below are requirements of the users."""
+TIMEOUT_PER_OBJECTIVE = 4.0
+TIMEOUT_PER_GAP = 8.0
 
-UNNAMED_DELAY_MS = 0.5
-"""Way between two zones where a service names none, as between halls of one city.
-Without it another zone's targets would be as near as the own ones."""
+DEFAULT_DELAY_MS = 0.5
+"""One-way delay between two zones if a service configures none, as between halls of
+one city.  Without it, targets in other zones would appear as near as local ones."""
 
 
 class RouteKind(enum.StrEnum):
-    """What may be repeated of a route's requests."""
+    """Which requests of a route may be retried."""
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
@@ -27,14 +27,14 @@
 
 
 class TargetPhase(enum.StrEnum):
-    """Whether a target takes work, as it says itself."""
+    """Whether a target accepts work, as stated in its own record."""
 
     READY = "ready"
     LEAVING = "leaving"
 
 
 class LayerSpan(msgspec.Struct, frozen=True):
-    """Layers ``first`` to ``end``, the end exclusive."""
+    """Layers from ``first`` up to but not including ``end``."""
 
     first: int
     end: int
@@ -44,25 +44,25 @@
 
 
 class ServiceShare(msgspec.Struct, frozen=True):
-    """A service and the part of a route's requests that go there."""
+    """A service and the share of a route's requests that are sent to it."""
 
     service: str
     weight: float
 
 
 class RouteRule(msgspec.Struct, frozen=True):
-    """How requests below one path prefix of one host name are served.
+    """How requests under one path prefix of one host name are served.
 
     Attributes
     ----------
     timeout_s : float
-        Longest time that a caller is kept waiting for the end of an answer.
+        Longest time that a caller waits for the end of an answer.
     objective_s : float
-        Time to the answer, or to a stream's first event, that callers want.
+        Desired time to the answer, or to a stream's first event.
     longest_gap_s : float
         Longest pause between two events of a stream that is still on time.
     max_attempts : int
-        Targets that one request may be sent to.
+        Number of targets that one request may be sent to.
     """
 
     name: str
@@ -80,33 +80,34 @@
 
     @property
     def caller_patience_s(self) -> float:
-        """Return for how long callers of a stream wait for its next event."""
+        """Return how long callers of a stream wait for its next event."""
         return max(
             LEAST_CALLER_PATIENCE_S,
-            OBJECTIVES_OF_PATIENCE * self.objective_s,
-            GAPS_OF_PATIENCE * self.longest_gap_s,
+            TIMEOUT_PER_OBJECTIVE * self.objective_s,
+            TIMEOUT_PER_GAP * self.longest_gap_s,
         )
 
     def allowed_silence_s(self, has_events: bool) -> float:
-        """Return the longest silence of a stream that is still on time.
+        """Return the longest time without events for which a stream is on time.
 
-        A route may name neither time.  Taken for none at all, each stream's targets
-        would be probed without a pause; so it is what the least patience implies.
+        A route may define neither time.  With an allowed silence of zero, the targets
+        of each stream would be probed without a pause, so the default is derived from
+        the minimum caller timeout.
         """
         if has_events:
-            return self.longest_gap_s or LEAST_CALLER_PATIENCE_S / GAPS_OF_PATIENCE
-        return self.objective_s or LEAST_CALLER_PATIENCE_S / OBJECTIVES_OF_PATIENCE
+            return self.longest_gap_s or LEAST_CALLER_PATIENCE_S / TIMEOUT_PER_GAP
+        return self.objective_s or LEAST_CALLER_PATIENCE_S / TIMEOUT_PER_OBJECTIVE
 
     @property
     def repeatable(self) -> bool:
-        """Return whether a request that may have run may be sent again."""
+        """Return whether a request that may have been executed may be retried."""
         if self.kind is RouteKind.STREAM:
             return self.resumable
         return self.kind is RouteKind.IDEMPOTENT
 
 
 class Accelerator(msgspec.Struct, frozen=True):
-    """A kind of card: its memory, and how much slower than the model's figures."""
+    """An accelerator type: its memory, and its slowdown over the model's figures."""
 
     name: str
     memory_mb: float
@@ -115,7 +116,7 @@
 
 
 class EngineSpec(msgspec.Struct, frozen=True):
-    """What the targets of a layered model can do.
+    """Capacity and speed of the targets of a layered model.
 
     Attributes
     ----------
@@ -124,20 +125,20 @@
     cache_bytes_per_token : float
         Cache of one token over all layers.
     step_ms, step_ms_per_request, step_ms_per_1k : float
-        Time of one step over all layers: fixed, for each request that writes,
-        for each thousand tokens of context.
+        Time of one step over all layers: fixed, per request that generates tokens,
+        and per thousand tokens of context.
     read_tokens_per_ms : float
-        Prompt tokens read over all layers.
+        Rate of reading prompt tokens through all layers.
     load_s : float
         Seconds to load all layers.
     step_bytes : float
-        What one token passes from part to part.
+        Bytes that one token sends from stage to stage.
     zone_mbps : float
-        Rate of the link between two zones; 0 where none is named.
+        Rate of the link between two zones; 0 if none is configured.
     delay_ms_by_pair : mapping
-        One way between two zones, by their names in order.
+        One-way delay between two zones, by their sorted names.
     report_lag_s : float
-        Age of what a target reports of its work.
+        Age of a target's load report.
     """
 
     model: str
@@ -161,19 +162,19 @@
     report_lag_s: float = 0.2
 
     def delay_ms(self, zone: str, other: str) -> float:
-        """Return the way of a token between two zones; the longest if none is named."""
-        longest_ms = max(self.delay_ms_by_pair.values(), default=UNNAMED_DELAY_MS)
+        """Return the one-way delay between zones, by default the longest configured."""
+        longest_ms = max(self.delay_ms_by_pair.values(), default=DEFAULT_DELAY_MS)
         return self.delay_ms_by_pair.get(pair_of(zone, other), longest_ms)
 
     def transfer_ms(self, tokens: float) -> float:
-        """Return the time for which tokens hold the link between two zones."""
+        """Return the time for which tokens occupy the link between two zones."""
         if self.zone_mbps <= 0:
             return 0.0
         return tokens * self.step_bytes * 8 / (self.zone_mbps * 1e6) * 1e3
 
 
 class ServiceSpec(msgspec.Struct, frozen=True):
-    """A service that routes point to; ``engine`` only where layers are placed."""
+    """A service that routes refer to; ``engine`` only for layered models."""
 
     name: str
     health_path: str
@@ -182,21 +183,21 @@
 
 
 class Workspace(msgspec.Struct, frozen=True):
-    """A customer; a ``priority`` of its own goes before its route's."""
+    """A customer; its own ``priority`` overrides that of the route."""
 
     name: str
     priority: int | None = None
 
 
 class RequestLimits(msgspec.Struct, frozen=True):
-    """What a caller may send, and how long a connection may stay idle."""
+    """Limits on the size of request bodies and the idle time of connections."""
 
     max_body_bytes: int = 4 << 20
     idle_timeout_s: float = 15.0
 
 
 class RoutingConfig(msgspec.Struct, frozen=True):
-    """One version of the configuration, whole and never changed."""
+    """One complete, immutable version of the configuration."""
 
     version: int
     routes: tuple[RouteRule, ...]
@@ -207,13 +208,13 @@
 
 
 class TargetRecord(msgspec.Struct, frozen=True):
-    """A target as it last described itself.
+    """The latest record that a target wrote about itself.
 
     Attributes
     ----------
     started_ms : int
-        Start of this incarnation; a target that starts again may keep its id,
-        and then holds nothing of what it held before.
+        Start of this incarnation; a restarted target may keep its id, but holds
+        nothing of what it held before.
     """
 
     id: str
@@ -229,23 +230,24 @@
 
     @property
     def incarnation(self) -> tuple[str, int]:
-        """Return what tells this start of the target from every other."""
+        """Return a key that distinguishes this run of the target from all others."""
         return (self.id, self.started_ms)
 
 
 class TargetReport(msgspec.Struct, frozen=True):
-    """What a target says of its work when asked.
+    """A target's report on its work, in reply to a probe.
 
     Attributes
     ----------
     order_count : int
-        Orders that this incarnation has accepted.
+        Number of orders that this incarnation has accepted.
     pace : float
-        Over 1 where the target is slower than its kind.
+        Slowdown factor; above 1 if the target is slower than its type.
     cache_used, cache_total : float
-        Tokens times layers.
+        In tokens times layers.
     stalled : tuple
-        Ids of requests that wait for a dead part of their path, with its address.
+        Ids of requests that wait for a dead stage of their path, with the address of
+        that stage.
     """
 
     started_ms: int
@@ -261,7 +263,7 @@
 
 
 class PathPart(msgspec.Struct, frozen=True):
-    """One target of a path and the layers that it runs."""
+    """One stage of a path: a target and the layers that it runs."""
 
     target_id: str
     address: str
--- a/radishfield/routing/_watch_duty.py
+++ b/radishfield/routing/_watch_duty.py
@@ -1,11 +1,11 @@
-"""Which hosts follow the store, and when one that does not has to read it itself.
-
-Load pattern: tens of hosts in a zone, each with two watches that every heartbeat of
-ninety targets wakes.  The calls grow with the hosts times the targets, and all of
-them bring the same.  So a few hosts of each zone watch, and tell the others of their
-zone what changed and for how long their view has been the newest.  A host that is
-not told, or is told something that does not match its own view, reads the store
-itself; no host depends on another one's word for longer than that takes.
+"""Decides which hosts watch the store and when the other hosts have to read it.
+
+With tens of hosts in a zone, each heartbeat of ninety targets would wake two watches on
+every host.  The calls would grow with the number of hosts times targets, and all of
+them would return the same data.  So a few hosts of each zone watch the store and report
+to the others of the zone what changed and when their view was last confirmed as the
+newest.  A host that receives no report, or one that does not match its own view, reads
+the store itself; it depends on other hosts only until then.
 """
 
 import math
@@ -14,43 +14,44 @@
 import msgspec
 
 WATCHERS_PER_ZONE = 2
-"""One may be frozen or cut off from the store.  If both are, the others read the store
-themselves for the second or two until two of them have the duty."""
+"""One may be frozen or disconnected from the store.  If both are, the others read the
+store themselves for the second or two until two of them become watchers."""
 
-SMALL_ZONE = 3
-"""Zones of up to so many hosts are as if there were no such duty."""
+SMALL_ZONE_HOSTS = 3
+"""In zones of up to this many hosts, all hosts watch the store."""
 
-AGREEMENT_S = 1.2
-"""Time without a watcher's word that its list of targets is the same, after which a
-host reads the list itself.  Each watcher is heard every 0.8 s in a zone of forty
-hosts; lost news of a target that leaves may last two seconds."""
+MAX_AGREEMENT_AGE_S = 1.2
+"""Time without a watcher's report of an identical list of targets after which a host
+reads the list itself.  Each watcher reports every 0.8 s in a zone of forty hosts; a
+lost update about a leaving target may go unnoticed for at most two seconds."""
 
 CONFIG_AGE_SHARE = 0.6
-"""Part of the bound on keys after which a host confirms its configuration itself.
-The word of a watcher is up to half of the bound old; the rest is for the read."""
+"""Share of the bound on keys after which a host confirms its configuration itself.
+A watcher's report is up to half of the bound old; the rest is left for the read."""
 
-TOLD_S = 0.3
-"""Time in which a newer version that was heard of is passed on as well; a tenth of
-the shortest time in which a change has to be in force."""
+NEWER_VERSION_WAIT_S = 0.3
+"""Time for which a host waits to receive a newer version that a peer has announced,
+before it reads the store; a tenth of the shortest time in which a change has to be
+active."""
 
-WATCHER_SILENT_S = 3.0
-"""A watcher that had no answer of the store for this long is passed over: a watch
-that waited for 2.5 s and was late by another half second."""
+MAX_WATCHER_SILENCE_S = 3.0
+"""A watcher without an answer from the store for this long is skipped: a watch waits
+2.5 s and may be late by another half second."""
 
-WATCHER_VIEW_S = 4.5
-"""A list that was confirmed longer ago than this proves nothing to others: a watch
-that waited for 2.5 s, and two seconds for words both ways."""
+MAX_LIST_AGE_S = 4.5
+"""A list that was confirmed longer ago than this proves nothing to other hosts: a watch
+waits 2.5 s, and messages in both directions take two seconds."""
 
 
 class ZoneHost(msgspec.Struct, frozen=True):
-    """Another host of the zone, as heard lately.
+    """State of another host of the zone, from its latest messages.
 
     Attributes
     ----------
     watches : bool
-        It follows the store, by its own word.
+        The host reports that it watches the store.
     silent_s : float
-        Seconds since it had an answer of the store.
+        Seconds since the host had an answer from the store.
     """
 
     id: str
@@ -59,23 +60,23 @@
 
 
 class WatchDuty(msgspec.Struct):
-    """What this host does about the store at the moment.
+    """Whether this host watches the store, and what it received from watchers.
 
     Attributes
     ----------
     on_duty : bool
-        This host follows the store for its zone.
+        This host watches the store for its zone.
     shared : bool
-        Some hosts of the zone depend on being told.
+        Some hosts of the zone depend on reports from watchers.
     agreed_at : float or None
-        When the list of targets was last known to be the store's: a watcher had the
-        same, or this host read it.
+        When the list of targets was last known to match the store: a watcher had the
+        same list, or this host read it.
     newest_version : int
-        Newest version of the configuration that any host was heard to have.
+        Newest version of the configuration that any host has reported.
     newer_heard_at : float
-        When it was heard of first.
+        When that version was first reported.
     reading_since : float or None
-        Since when this host has followed the configuration itself.
+        Since when this host has watched the configuration itself.
     """
 
     on_duty: bool = True
@@ -87,62 +88,62 @@
 
     @property
     def tells_others(self) -> bool:
-        """Return whether other hosts of the zone depend on this one's word."""
+        """Return whether other hosts of the zone depend on this host's reports."""
         return self.on_duty and self.shared
 
     def assign(self, own_id: str, others: Iterable[ZoneHost]) -> bool:
-        """Take or leave the duty; return whether that is a change.
+        """Decide whether this host watches the store; return whether that changed.
 
-        The first hosts by id have it, so that hosts that hear each other agree
-        without a word.  Where they do not, a few more watch.
+        The watchers are the first hosts by id, so that hosts that receive each other's
+        messages agree without negotiation.  If they do not, a few more hosts watch.
         """
         able = [
             host.id
             for host in others
-            if not (host.watches and host.silent_s >= WATCHER_SILENT_S)
+            if not (host.watches and host.silent_s >= MAX_WATCHER_SILENCE_S)
         ]
-        self.shared = len(able) >= SMALL_ZONE
+        self.shared = len(able) >= SMALL_ZONE_HOSTS
         before = self.on_duty
         watchers = sorted([own_id, *able])[:WATCHERS_PER_ZONE]
         self.on_duty = not self.shared or own_id in watchers
         return self.on_duty != before
 
     def heard_version(self, version: int, now: float) -> bool:
-        """Note a version that another host has; return whether it is a newer one."""
+        """Record a version that another host has; return whether it is newer."""
         if version <= self.newest_version:
             return False
         self.newest_version, self.newer_heard_at = version, now
         return True
 
     def told(self, same_targets: bool, list_age_s: float, now: float) -> None:
-        """Take a watcher's word on its list of targets."""
-        if same_targets and 0.0 <= list_age_s < WATCHER_VIEW_S:
+        """Apply a watcher's report on its list of targets."""
+        if same_targets and 0.0 <= list_age_s < MAX_LIST_AGE_S:
             self.agreed_at = max(now, self.agreed_at or now)
 
     def read_targets(self, now: float) -> None:
-        """Note that this host read the list itself: as good as a watcher's word."""
+        """Record that this host read the list, which counts like a watcher's report."""
         self.agreed_at = now
 
     def targets_due_in_s(self, now: float) -> float:
-        """Return after how long this host has to ask the store for the targets.
+        """Return the seconds until this host has to read the targets from the store.
 
-        Zero or less is at once; being told something meanwhile puts it off.
+        Zero or less means at once.  A watcher's report in the meantime postpones it.
         """
         if self.on_duty or self.agreed_at is None:
             return 0.0
-        return self.agreed_at + AGREEMENT_S - now
+        return self.agreed_at + MAX_AGREEMENT_AGE_S - now
 
     def config_due_in_s(
         self, age_s: float, bound_s: float, version: int, now: float
     ) -> float:
-        """Return after how long it has to ask for the configuration, likewise.
+        """Return the seconds until this host has to read the configuration.
 
-        A newer version is mostly on its way already; read at once by each host it
-        would cost a call a host.
+        Zero or less means at once.  A newer version is usually already being forwarded
+        to this host; reading it at once would cost one call per host.
         """
         if self.on_duty:
             return 0.0
         due_in_s = bound_s * CONFIG_AGE_SHARE - age_s
         if version < self.newest_version:
-            due_in_s = min(due_in_s, self.newer_heard_at + TOLD_S - now)
+            due_in_s = min(due_in_s, self.newer_heard_at + NEWER_VERSION_WAIT_S - now)
         return due_in_s
--- a/radishfield/routing/_zone_sums.py
+++ b/radishfield/routing/_zone_sums.py
@@ -1,9 +1,10 @@
-"""What the hosts of each zone have together, told as one sum a zone.
+"""Holds the totals of each zone, which stand for the load of all its hosts.
 
-Load pattern: with tens of hosts in a zone none can hear all of them, and what it has
-not heard of looks like room.  A few hosts, which all others tell, add up what their
-zone has, and tell the sums.  What a host has itself it counts exactly; so what it had
-told when its own zone's sum was made is taken out of that sum.
+With tens of hosts in a zone, no host can receive messages from all of them, and load
+that it has not received looks like free capacity.  A few hosts, which receive the
+reports of all others, add up the load of their zone and announce the totals.  A host
+counts its own load exactly, so the load that it had reported when its own zone's total
+was made is subtracted from that total.
 """
 
 from collections import deque
@@ -11,42 +12,44 @@
 
 import msgspec
 
-SUM_LIFETIME_S = 1.5
-"""A sum older than this is not used: five times its usual age in a large zone."""
+MAX_TOTAL_AGE_S = 1.5
+"""A total older than this is not used: five times its typical age in a large zone."""
 
 
 class ZoneSum(msgspec.Struct, frozen=True):
-    """What all hosts of a zone have, by key, as added up at ``at`` on this clock."""
+    """Totals of a zone's hosts by key, computed at ``at`` on this host's clock."""
 
     at: float
     by_key: Mapping
 
 
 class ZoneSums(msgspec.Struct):
-    """The latest sum of each zone, and what this host told of itself lately."""
+    """The latest total of each zone, and this host's own recent reports."""
 
-    _sum_by_zone: dict[str, ZoneSum] = msgspec.field(default_factory=dict)
-    _told: deque[ZoneSum] = msgspec.field(default_factory=lambda: deque(maxlen=8))
+    _total_by_zone: dict[str, ZoneSum] = msgspec.field(default_factory=dict)
+    _own_reports: deque[ZoneSum] = msgspec.field(
+        default_factory=lambda: deque(maxlen=8)
+    )
 
     def take(self, zone: str, item: ZoneSum) -> None:
-        """Take a zone's sum, unless a later one is known."""
-        known = self._sum_by_zone.get(zone)
+        """Store a zone's total, unless a later one is known."""
+        known = self._total_by_zone.get(zone)
         if known is None or item.at > known.at:
-            self._sum_by_zone[zone] = item
+            self._total_by_zone[zone] = item
 
     def fresh(self, now: float) -> dict[str, ZoneSum]:
-        """Return the sums by zone that are fresh enough to be used."""
+        """Return the totals by zone that are recent enough to be used."""
         return {
             zone: item
-            for zone, item in self._sum_by_zone.items()
-            if now - item.at < SUM_LIFETIME_S
+            for zone, item in self._total_by_zone.items()
+            if now - item.at < MAX_TOTAL_AGE_S
         }
 
     def told_own(self, now: float, by_key: Mapping) -> None:
-        """Note what this host tells of itself now."""
-        self._told.append(ZoneSum(now, by_key))
+        """Record what this host reports about itself now."""
+        self._own_reports.append(ZoneSum(now, by_key))
 
     def own_at(self, at: float) -> Mapping:
-        """Return what this host had told of itself at a time."""
-        told = [item for item in self._told if item.at <= at]
-        return told[-1].by_key if told else {}
+        """Return this host's latest report about itself up to a time."""
+        reported = [item for item in self._own_reports if item.at <= at]
+        return reported[-1].by_key if reported else {}
--- a/radishfield/routing/conftest.py
+++ b/radishfield/routing/conftest.py
@@ -1,4 +1,4 @@
-"""Builders of targets and engines like the users' own."""
+"""Builds targets and engine specs with the figures of the users' deployment."""
 
 import pytest
 
--- a/radishfield/routing/freshness_test.py
+++ b/radishfield/routing/freshness_test.py
@@ -1,4 +1,4 @@
-"""Keys are admitted only while the configuration is known to be new enough."""
+"""Tests that keys are admitted only while the configuration is recent enough."""
 
 from radishfield.routing import Freshness
 
@@ -8,11 +8,11 @@
 
 
 def test_age_counts_from_before_the_call_was_sent():
-    """A watch waits while a key is taken away.
+    """A key is revoked while a watch call is waiting.
 
-    The call is sent at 10, the key is taken away at 10.1, and the answer that
-    was made just before is read at 14.  Counted from the answer, the key would
-    run until 19; counted from the call it is refused before 15.1.
+    The call is sent at 10, the key is revoked at 10.1, and the answer that was made
+    just before is read at 14.  Counted from the answer, the key would be admitted
+    until 19; counted from the call, it is refused before 15.1.
     """
     freshness = Freshness(5.0)
     freshness.confirm(10.0, 10.1)
@@ -20,20 +20,20 @@
     assert not freshness.admits_keys(14.95)
 
 
-def test_an_answer_that_was_overtaken_does_not_make_the_view_older():
+def test_an_answer_that_arrives_out_of_order_does_not_make_the_view_older():
     freshness = Freshness(5.0)
     freshness.confirm(12.0, 12.1)
     freshness.confirm(11.0, 12.2)
     assert freshness.age_s(13.0) == 1.0
 
 
-def test_a_host_that_slept_admits_nothing():
+def test_a_host_that_was_suspended_admits_nothing():
     freshness = Freshness(5.0)
     freshness.confirm(10.0, 10.1)
     assert not freshness.admits_keys(40.0)
 
 
-def test_a_store_that_fails_is_told_from_one_that_keeps_a_watch_waiting():
+def test_a_failing_store_is_distinguished_from_one_that_delays_a_watch():
     freshness = Freshness(5.0)
     freshness.confirm(10.0, 12.0)
     assert freshness.silent_s(13.5) == 1.5
--- a/radishfield/routing/layout_test.py
+++ b/radishfield/routing/layout_test.py
@@ -1,4 +1,4 @@
-"""Layouts over unequal zones: whole copies in each, within every card's memory."""
+"""Tests of layouts over unequal zones: complete copies in each, within memory."""
 
 from collections import Counter
 
@@ -20,22 +20,22 @@
     return [counts[layer] for layer in range(ENGINE.layers)]
 
 
-def users_fleet():
+def make_fleet():
     counts = {"a": (1, 6, 5), "b": (2, 2, 5), "c": (1, 3, 8)}
     return [
         make_target(f"{zone}-{kind}-{index}", zone, kind)
-        for zone, of_kinds in counts.items()
-        for kind, count in zip(("a100", "l40s", "l4"), of_kinds, strict=True)
+        for zone, kind_counts in counts.items()
+        for kind, count in zip(("a100", "l40s", "l4"), kind_counts, strict=True)
         for index in range(count)
     ]
 
 
-def test_blocks_are_as_large_as_the_cards_allow():
+def test_blocks_are_as_large_as_accelerator_memory_allows():
     assert block_layers(ENGINE) == 8
 
 
-def test_each_zone_holds_whole_copies_and_the_rest_joins_to_another():
-    plan = plan_layout(ENGINE, users_fleet())
+def test_each_zone_holds_complete_copies_and_the_rest_forms_another():
+    plan = plan_layout(ENGINE, make_fleet())
     assert len(plan) == 33
     assert min(copies(plan, "a")) == 2
     assert min(copies(plan, "b")) == 1
@@ -43,15 +43,15 @@
     assert min(copies(plan)) == 5
 
 
-def test_an_empty_target_gets_what_its_zone_lost():
-    """A target was lost and another one comes, empty.
+def test_an_empty_target_gets_the_layers_missing_in_its_zone():
+    """A target has left its zone and an empty one replaces it.
 
-    Dealt by chance it would hold a further copy of what is there already, and
-    the zone's requests would cross to other zones for good.
+    If its layers were chosen at random, it might duplicate existing ones, and the
+    zone's requests would permanently cross to other zones.
     """
-    records = users_fleet()
+    records = make_fleet()
     plan = plan_layout(ENGINE, records)
-    lost = next(item for item in plan if item.target.zone == "b")
+    removed = next(item for item in plan if item.target.zone == "b")
     placed = [
         make_target(
             item.target.id,
@@ -60,12 +60,12 @@
             (item.span.first, item.span.end),
         )
         for item in plan
-        if item is not lost
+        if item is not removed
     ]
-    new = make_target("new", "b", lost.target.accelerator)
-    (again,) = plan_layout(ENGINE, [*placed, new])
-    assert again.target.id == "new"
-    after = copies([*[p for p in plan if p is not lost], again], "b")
+    new = make_target("new", "b", removed.target.accelerator)
+    (replacement,) = plan_layout(ENGINE, [*placed, new])
+    assert replacement.target.id == "new"
+    after = copies([*[p for p in plan if p is not removed], replacement], "b")
     assert min(after) >= 1
 
 
@@ -74,7 +74,7 @@
     assert plan_layout(ENGINE, [record]) == []
 
 
-def test_a_card_of_an_unknown_kind_gets_nothing():
+def test_an_accelerator_of_unknown_type_gets_nothing():
     assert plan_layout(ENGINE, [make_target("t", accelerator="unknown")]) == []
 
 
@@ -86,22 +86,23 @@
         max_size=40,
     )
 )
-def test_no_plan_fills_a_card_beyond_its_memory(cards):
+def test_no_plan_exceeds_the_memory_of_an_accelerator(zones_and_kinds):
     records = [
-        make_target(f"t{index}", zone, kind) for index, (zone, kind) in enumerate(cards)
+        make_target(f"t{index}", zone, kind)
+        for index, (zone, kind) in enumerate(zones_and_kinds)
     ]
     plan = plan_layout(ENGINE, records)
     assert len({item.target.id for item in plan}) == len(plan)
     for item in plan:
-        card = CARDS[item.target.accelerator]
-        assert len(item.span) * ENGINE.layer_mb < card.memory_mb
+        accelerator = CARDS[item.target.accelerator]
+        assert len(item.span) * ENGINE.layer_mb < accelerator.memory_mb
         assert 0 <= item.span.first < item.span.end <= ENGINE.layers
 
 
 def placed_fleet():
     return [
         replace(item.target, span=item.span)
-        for item in plan_layout(ENGINE, users_fleet())
+        for item in plan_layout(ENGINE, make_fleet())
     ]
 
 
@@ -114,15 +115,15 @@
     return counts
 
 
-def test_a_layout_that_is_whole_is_left_alone():
+def test_a_complete_layout_needs_no_move():
     assert plan_move(ENGINE, placed_fleet()) is None
 
 
 def test_a_zone_that_lacks_layers_gets_them_from_its_own_spare_targets():
-    """Targets of a zone leave for good, and with them its only copy of a block.
+    """Targets leave a zone permanently, and with them its only copy of a block.
 
-    Left so, each prompt of the zone crosses the link twice; the zone holds other
-    blocks two times over, and one of those targets takes the missing block.
+    Without a move, each prompt of the zone crosses the link twice.  The zone has two
+    copies of other blocks, and one of those targets loads the missing block.
     """
     records = [
         record
@@ -144,7 +145,7 @@
     assert moves < 6
 
 
-def test_nothing_moves_where_it_would_leave_a_hole():
+def test_no_move_leaves_a_block_without_a_copy():
     single = [
         make_target("t1", "a", "l4", (0, 8)),
         make_target("t2", "a", "l4", (8, 16)),
@@ -154,50 +155,50 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.sets(st.integers(0, 32), max_size=14))
-def test_moves_come_to_an_end_and_never_open_a_hole(lost):
-    """Any targets are lost; moves must repair, not chase each other."""
+def test_moves_terminate_and_never_leave_a_block_without_a_copy(removed):
+    """Moves must repair the loss of any targets and not undo each other."""
     records = [
-        record for index, record in enumerate(placed_fleet()) if index not in lost
+        record for index, record in enumerate(placed_fleet()) if index not in removed
     ]
     for _ in range(40):
         move = plan_move(ENGINE, records)
         if move is None:
             return
-        holes = zone_copies(records, move.target.zone).count(0)
+        missing = zone_copies(records, move.target.zone).count(0)
         records = [
             replace(record, span=move.span) if record is move.target else record
             for record in records
         ]
-        assert zone_copies(records, move.target.zone).count(0) <= holes
-    raise AssertionError("moves do not end")
+        assert zone_copies(records, move.target.zone).count(0) <= missing
+    raise AssertionError("plan_move still returns a move after 40 moves")
 
 
-def first_whole_zone_at(assignments, records, concurrent):
-    """Return when the first zone holds every layer, with loads that share a store.
+def first_complete_zone_at(assignments, records, concurrent):
+    """Return when the first zone holds every layer if all loads share a weight store.
 
     Loads beyond ``concurrent`` slow all of them down in proportion.
     """
-    left = {item: len(item.span) * 1.0 for item in assignments}
+    remaining = {item: len(item.span) * 1.0 for item in assignments}
     placed, now = [record for record in records if record.span is not None], 0.0
-    while left:
-        started = list(next_loads(list(left), 0, concurrent))
-        pace = min(1.0, concurrent / len(started))
-        step = min(left[item] for item in started) / pace
+    while remaining:
+        started = list(next_loads(list(remaining), 0, concurrent))
+        speed = min(1.0, concurrent / len(started))
+        step = min(remaining[item] for item in started) / speed
         now += step
         for item in started:
-            left[item] -= step * pace
-            if left[item] <= 1e-9:
-                del left[item]
+            remaining[item] -= step * speed
+            if remaining[item] <= 1e-9:
+                del remaining[item]
                 placed.append(replace(item.target, span=item.span))
         if any(0 not in zone_copies(placed, zone) for zone in "abc"):
             return now
     return now
 
 
-def test_first_zone_is_whole_in_the_time_of_its_own_loads():
-    # Each zone loses one card of each kind and gets them back empty.  Loaded all at
-    # once through a store that serves three, each load takes several times as long
-    # and all zones stand without a whole path until the end.
+def test_first_zone_is_complete_in_the_time_of_its_own_loads():
+    # Each zone loses one accelerator of each type and gets it back empty.  If all were
+    # loaded at once from a store that serves three, each load would take several times
+    # as long and no zone would have a complete path until the end.
     records = [
         (
             replace(record, span=None)
@@ -208,17 +209,17 @@
     ]
     plan = plan_layout(ENGINE, records)
     assert len(plan) == 9
-    assert not any(0 not in zone_copies_of(records, zone) for zone in "bc")
-    in_turn = first_whole_zone_at(plan, records, concurrent=3)
-    own = [item for item in plan if item.target.zone == plan[0].target.zone]
-    assert in_turn <= max(len(item.span) for item in own)
+    assert not any(0 not in zone_copies_of_placed(records, zone) for zone in "bc")
+    completed_at = first_complete_zone_at(plan, records, concurrent=3)
+    first_zone = [item for item in plan if item.target.zone == plan[0].target.zone]
+    assert completed_at <= max(len(item.span) for item in first_zone)
 
 
-def zone_copies_of(records, zone):
+def zone_copies_of_placed(records, zone):
     return zone_copies([item for item in records if item.span is not None], zone)
 
 
-def test_what_no_target_holds_is_loaded_before_further_copies():
+def test_layers_that_no_target_holds_are_loaded_before_further_copies():
     records = [
         (
             replace(record, span=None)
--- a/radishfield/routing/peer_freshness_test.py
+++ b/radishfield/routing/peer_freshness_test.py
@@ -1,4 +1,4 @@
-"""A neighbour's word on the configuration, and when callers go to a neighbour."""
+"""Tests of configuration confirmed by peers and of directing callers to peers."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -13,29 +13,31 @@
 
 
 @given(times, times, times, times, times)
-def test_a_word_never_makes_a_view_newer_than_it_is(asked, way, held, age, back):
-    """A question and its answer may take any time, and the neighbour may stop.
+def test_a_confirmation_never_makes_a_view_newer_than_it_is(
+    sent_at, transit, held, age, back
+):
+    """A request and its answer may take any time, and the peer may be frozen.
 
-    Whatever happens on the way, the moment that is concluded lies no later than
-    the moment at which the neighbour's view was confirmed.
+    Whatever happens in transit, the computed time is no later than the time at which
+    the peer's view was confirmed.
     """
-    made_at = asked + way + held
+    made_at = sent_at + transit + held
     confirmed_at = made_at - age
-    word = PeerConfirmation(version=3, age_s=age, asked_at=asked)
-    assert confirmed_by_peer_at(word, 3) <= confirmed_at + 1e-9
+    confirmation = PeerConfirmation(version=3, age_s=age, asked_at=sent_at)
+    assert confirmed_by_peer_at(confirmation, 3) <= confirmed_at + 1e-9
     assert back >= 0
 
 
-def test_a_word_on_another_version_proves_nothing():
+def test_a_confirmation_of_another_version_proves_nothing():
     assert confirmed_by_peer_at(PeerConfirmation(4, 0.1, 10.0), 3) is None
     assert confirmed_by_peer_at(PeerConfirmation(2, 0.1, 10.0), 3) is None
 
 
-def test_callers_go_elsewhere_only_where_elsewhere_is_better():
-    """A host loses the store; its neighbours may have lost it too.
+def test_callers_are_sent_away_only_if_a_peer_reaches_the_store():
+    """A host cannot reach the store, and its peers may not reach it either.
 
-    Sent away where nobody reaches the store, callers would only crowd at other
-    hosts that must refuse them as well.
+    If callers were sent away while no host reaches the store, they would only
+    overload other hosts that must refuse them as well.
     """
     assert not sends_callers_away(0.0, 2.1, 8, 0.5, True)
     assert sends_callers_away(1.2, 1.5, 8, 0.5, True)
@@ -43,6 +45,6 @@
     assert not sends_callers_away(3.0, 3.0, 8, 3.5, True)
 
 
-def test_a_host_that_hears_nobody_any_more_is_the_one_that_is_cut_off():
+def test_a_host_that_stops_receiving_from_peers_counts_as_disconnected():
     assert sends_callers_away(3.0, 3.0, 0, float("inf"), True)
     assert not sends_callers_away(3.0, 3.0, 0, float("inf"), False)
--- a/radishfield/routing/table_test.py
+++ b/radishfield/routing/table_test.py
@@ -1,4 +1,4 @@
-"""Routes by host name and longest prefix, and keys by workspace."""
+"""Tests of finding routes by host name and longest prefix, and workspaces by key."""
 
 from radishfield.routing import (
     NoKeyNeeded,
@@ -32,18 +32,18 @@
     return RoutingTable(config)
 
 
-def test_longest_prefix_that_begins_the_path_wins():
+def test_longest_matching_prefix_wins():
     found = table(route("/a/"), route("/a/b/"))
     assert found.match("h.example", "/a/b/c").name == "/a/b/"
     assert found.match("h.example", "/a/bc").name == "/a/"
     assert found.match("h.example", "/a/b/").name == "/a/b/"
 
 
-def test_a_prefix_without_its_last_slash_is_no_match():
+def test_a_path_without_the_last_slash_of_the_prefix_does_not_match():
     assert table(route("/a/")).match("h.example", "/a") is None
 
 
-def test_the_root_prefix_takes_every_path():
+def test_the_root_prefix_matches_every_path():
     assert table(route("/")).match("h.example", "/x").name == "/"
 
 
@@ -53,7 +53,7 @@
     assert found.match("H.example:8080", "/a/x") is not None
 
 
-def test_keys_tell_the_workspace_and_public_routes_need_none():
+def test_keys_identify_the_workspace_and_public_routes_need_none():
     private, public = route("/a/"), route("/p/", public=True)
     found = table(private, public, keys={"k": Workspace("w")})
     assert found.identify(private, "k") == Workspace("w")
@@ -63,5 +63,5 @@
 
 
 def test_without_workspaces_no_key_is_needed():
-    only = route("/a/")
-    assert table(only).identify(only, "") == NoKeyNeeded()
+    private = route("/a/")
+    assert table(private).identify(private, "") == NoKeyNeeded()
--- a/radishfield/routing/watch_duty_test.py
+++ b/radishfield/routing/watch_duty_test.py
@@ -1,4 +1,4 @@
-"""Tests of who follows the store, and of hosts that are told by others."""
+"""Tests of which hosts watch the store and when the others read it."""
 
 from radishfield.routing import WatchDuty, ZoneHost
 
@@ -10,7 +10,7 @@
 
 
 def test_calls_do_not_grow_with_the_hosts_of_a_zone():
-    """Forty hosts hear each other: two follow the store, and all know which."""
+    """Forty hosts that receive each other's messages select the same two watchers."""
     ids = [f"h{number:02}" for number in range(40)]
     watching = []
     for own_id in ids:
@@ -22,14 +22,14 @@
     assert watching == ["h00", "h01"]
 
 
-def test_a_zone_of_three_is_as_if_there_were_no_duty():
+def test_in_a_zone_of_three_all_hosts_watch():
     duty = WatchDuty()
     duty.assign("c", hosts("a", "b", watches=("a", "b")))
     assert duty.on_duty and not duty.shared
 
 
-def test_a_watcher_that_the_store_turns_away_is_replaced():
-    """The zone's callers see no gap while one watcher is cut off from the store."""
+def test_a_watcher_without_answers_from_the_store_is_replaced():
+    """The zone's callers notice nothing while one watcher cannot reach the store."""
     duty = WatchDuty()
     others = ("a", "b", "d", "e")
     duty.assign("c", hosts(*others, watches=("a", "b")))
@@ -38,14 +38,14 @@
     assert changed and duty.on_duty
 
 
-def test_a_host_that_never_watched_may_be_silent_and_still_is_next():
+def test_a_host_that_never_watched_may_be_silent_and_is_still_next():
     duty = WatchDuty()
     duty.assign("e", hosts("b", "c", "d", watches=("b",), silent=("c", "d")))
     assert not duty.on_duty
 
 
-def test_targets_are_read_unless_a_fresh_list_is_the_same():
-    """News of a target that leaves is lost; the lists differ, and are read again."""
+def test_targets_are_read_unless_a_watcher_has_the_same_recent_list():
+    """If an update about a leaving target is lost, the lists differ and are reread."""
     duty = WatchDuty()
     duty.assign("d", hosts("a", "b", "c"))
     assert duty.targets_due_in_s(100.0) <= 0
@@ -57,7 +57,7 @@
     assert duty.targets_due_in_s(101.3) <= 0
 
 
-def test_a_host_that_nobody_tells_reads_again_and_again():
+def test_a_host_without_reports_reads_targets_repeatedly():
     duty = WatchDuty()
     duty.assign("d", hosts("a", "b", "c"))
     duty.read_targets(100.0)
@@ -65,15 +65,15 @@
     assert duty.targets_due_in_s(101.3) <= 0
 
 
-def test_a_configuration_is_read_when_none_confirms_it():
+def test_a_configuration_is_read_if_no_host_confirms_it():
     duty = WatchDuty()
     duty.assign("d", hosts("a", "b", "c"))
     assert duty.config_due_in_s(2.5, 5.0, 7, 100.0) > 0
     assert duty.config_due_in_s(3.1, 5.0, 7, 100.0) <= 0
 
 
-def test_newer_configuration_that_is_not_passed_on_is_read():
-    """A watcher's datagram with the configuration is lost, or would be too long."""
+def test_newer_configuration_that_is_not_forwarded_is_read():
+    """A watcher's datagram with the configuration may be lost or exceed its limit."""
     duty = WatchDuty()
     duty.assign("d", hosts("a", "b", "c"))
     assert duty.heard_version(8, 100.0)
