--- a/radishfield/decisions/_pool.py
+++ b/radishfield/decisions/_pool.py
@@ -20,11 +20,11 @@
     full_step_s,
     little_limit,
 )
-from radishfield.decisions._pace import DrainRate, Paces
+from radishfield.decisions._pace import DrainRate, TokenTimes
 from radishfield.decisions._routes import Chooser, Crossing
 
-FIRST_PACE_S = 0.1
-"""Seconds for a token before any plan or answer says better."""
+INITIAL_TOKEN_S = 0.1
+"""Assumed seconds for a token until the first plan or answer."""
 
 
 class Pool:
@@ -33,14 +33,15 @@
     Attributes
     ----------
     full : bool
-        Whether the last short work found no place and none was freed since.
+        Whether the last short work found no free capacity and none was freed
+        since.
     served : bool
         Whether live targets cover the work at all.
     """
 
     __slots__ = (
         "kind",
-        "paces",
+        "token_times",
         "drain",
         "ejector",
         "bound_tps",
@@ -59,7 +60,7 @@
 
     def __init__(self, kind: TargetKind):
         self.kind = kind
-        self.paces = Paces(FIRST_PACE_S)
+        self.token_times = TokenTimes(INITIAL_TOKEN_S)
         self.drain = DrainRate()
         self.ejector = Ejector()
         self.bound_tps = 0.0
@@ -67,7 +68,7 @@
         self.full = False
         self.mean_use = 0.0
         self.served = False
-        self.quickest_s = FIRST_PACE_S
+        self.quickest_s = INITIAL_TOKEN_S
         self._choosers: list[Chooser] = []
         self._crossings_by_pair: dict[tuple[str, str], Crossing] = {}
         self._hosts = 1
@@ -77,7 +78,7 @@
 
     @property
     def host_tps(self) -> float:
-        """Return this host's even part of the bound, in tokens per second."""
+        """Return this host's even share of the bound, in tokens per second."""
         return self.bound_tps / self._hosts
 
     @property
@@ -88,28 +89,28 @@
     def set_targets(
         self, targets: Sequence[Target], links: Sequence[Link], zone: str, hosts: int
     ) -> None:
-        """Replace the targets; what is known of those that stay is kept."""
+        """Replace the targets, keeping what was learned about those that stay."""
         self._links, self._zone, self._hosts = links, zone, max(1, hosts)
-        known = self.loads_by_id
+        previous = self.loads_by_id
         self.loads_by_id = {}
-        newcomers = []
+        new_loads = []
         for target in targets:
-            load = known.get(target.id)
+            load = previous.get(target.id)
             if load is None or load.target.incarnation != target.incarnation:
                 load = TargetLoad(target)
-                newcomers.append(load)
+                new_loads.append(load)
             load.see(target)
             self.loads_by_id[target.id] = load
         self.ejector.keep_only(set(self.loads_by_id))
         self.replan()
-        for load in newcomers:
-            if known:
+        for load in new_loads:
+            if previous:
                 load.start_low()
             else:
                 load.start_full()
 
     def replan(self) -> None:
-        """Work out flow, weights and limits anew; on fleet changes only."""
+        """Recompute flow, weights and limits; only for fleet changes."""
         self.full = False
         active = [
             load
@@ -128,21 +129,22 @@
             self.end_ejections()
 
     def end_ejections(self, version: str | None = None) -> bool:
-        """Take every ejected target back where none but them can serve.
+        """Readmit every ejected target, where only ejected ones can serve.
 
-        An ejection was right while others took the part.  Once those leave,
-        keeping to it would refuse every request while a target that may well
-        work again stands by; at worst it fails what would have been refused.
+        An ejection is right while other targets do the work.  Once those leave,
+        keeping it would refuse every request although a target is there that
+        may well work again.  At worst that target fails requests that would
+        have been refused.
 
         Parameters
         ----------
         version : str or None
-            The only model version that can serve, if others can't.
+            The only model version that can serve, if others cannot.
 
         Returns
         -------
         bool
-            Whether any was taken back.
+            Whether any was readmitted.
         """
         target_ids = [
             load.target.id
@@ -165,13 +167,13 @@
         fast: bool = False,
         version: str | None = None,
     ) -> Claim | None:
-        """Return places for one attempt, or None if there is no room.
+        """Return a claim for one attempt, or None if there is no free capacity.
 
         Parameters
         ----------
         version : str or None
-            The model version to stay with: only it can go on with tokens that it
-            made.
+            The model version to stay with, since only that version can continue
+            from tokens that it made.
         """
         if self.full and not forced:
             return None
@@ -216,22 +218,22 @@
         return (running + 1) / chooser.bound_tps
 
     def begin(self, claim: Claim) -> None:
-        """Count a claim's places as in flight."""
+        """Count a claim as in flight."""
         self._count(claim, 1)
         for load in claim.loads:
             load.begin(claim.long)
 
     def end(self, claim: Claim) -> None:
-        """Give a claim's places back."""
+        """Release a claim."""
         self.full = False
         self._count(claim, -1)
         for load in claim.loads:
             load.end(claim.long)
 
     def learn_token(self, claim: Claim, priority: Priority, token_s: float) -> None:
-        """Take in the seconds that a token of an attempt took."""
+        """Learn from the seconds that a token of an attempt took."""
         expected_s = sum(load.stage_s for load in claim.loads)
-        expected_s *= self.paces.factor(priority)
+        expected_s *= self.token_times.factor(priority)
         error = token_s / max(expected_s, 1e-9) - 1
         ratio = token_s / max(claim.token_s, 1e-9)
         for load in claim.loads:
@@ -239,14 +241,14 @@
             self.ejector.answered(load.target.id, ratio)
 
     def leave(self, target_id: str) -> None:
-        """Give a target no new work until it comes back."""
+        """Send a target no new work until it comes back."""
         load = self.loads_by_id.get(target_id)
         if load is not None and not load.left:
             load.leave()
             self.replan()
 
     def observe(self, report: LoadReport, now: float) -> None:
-        """Take in a load report, if it is of the present incarnation."""
+        """Apply a load report, if it is of the current incarnation."""
         load = self.loads_by_id.get(report.target_id)
         if load is None or report.incarnation != load.target.incarnation:
             return
@@ -265,7 +267,7 @@
         return any(chooser.covered(excluded) for chooser in self._choosers)
 
     def eject(self, target_id: str) -> bool:
-        """Leave a target out, unless no other can take its part."""
+        """Exclude a target, unless no other can replace it."""
         load = self.loads_by_id.get(target_id)
         if load is None or not self.covered(self._ejected() | {target_id}):
             return False
@@ -274,7 +276,7 @@
         return True
 
     def readmit(self, target_ids: list[str]) -> None:
-        """Take targets back in, with a small weight."""
+        """Readmit ejected targets, with a small weight."""
         returned = [self.loads_by_id[i] for i in target_ids if i in self.loads_by_id]
         for load in returned:
             load.allow(load.usable, False)
@@ -284,7 +286,7 @@
             load.start_low()
 
     def tick(self, elapsed_s: float, now: float) -> None:
-        """Move weights and forget stale reports; once a second is enough."""
+        """Update weights and drop stale reports; once a second is enough."""
         self.full = False
         uses = []
         for load in self.loads_by_id.values():
@@ -292,25 +294,25 @@
             load.forget_stale_report(now)
             uses.append(load.use)
         self.mean_use = sum(uses) / len(uses) if uses else 0.0
-        self._note_quickest()
+        self._update_quickest()
 
-    def _note_quickest(self) -> None:
+    def _update_quickest(self) -> None:
         if self.kind is TargetKind.SERVICE:
-            self.quickest_s = self.paces.overall.mean_s
+            self.quickest_s = self.token_times.overall.mean_s
             return
         times = [chooser.quickest_s() for chooser in self._choosers]
-        self.quickest_s = min(times, default=FIRST_PACE_S)
+        self.quickest_s = min(times, default=INITIAL_TOKEN_S)
 
     def within_load_bound(self, target_ids: Sequence[str]) -> frozenset[str]:
-        """Return those targets that affinity may prefer at their present load."""
+        """Return those targets that affinity may prefer at their current load."""
         bound = LOAD_BOUND * self.mean_use
-        fitting = set()
+        candidates = set()
         for target_id in target_ids:
             load = self.loads_by_id.get(target_id)
             if load is not None and load.has_room(False):
                 if load.own <= bound * load.share + 1:
-                    fitting.add(target_id)
-        return frozenset(fitting)
+                    candidates.add(target_id)
+        return frozenset(candidates)
 
     def _ejected(self) -> frozenset[str]:
         return frozenset(i for i, load in self.loads_by_id.items() if load.ejected)
@@ -329,22 +331,22 @@
         self.bound_tps = sum(load.goal for load in active)
 
     def _replan_engine(self, active: list[TargetLoad]) -> None:
-        by_version: dict[str, list[TargetLoad]] = {}
+        loads_by_version: dict[str, list[TargetLoad]] = {}
         for load in active:
-            by_version.setdefault(load.target.model_version, []).append(load)
+            loads_by_version.setdefault(load.target.model_version, []).append(load)
         self._choosers = []
         self.bound_tps = 0.0
-        for loads in by_version.values():
+        for loads in loads_by_version.values():
             plan = plan_flow(
                 [load.target for load in loads], self._links, self._zone, {}
             )
             if plan.bound_tps > 0:
-                self._adopt(plan, loads)
+                self._add_plan(plan, loads)
 
-    def _adopt(self, plan: FlowPlan, loads: list[TargetLoad]) -> None:
+    def _add_plan(self, plan: FlowPlan, loads: list[TargetLoad]) -> None:
         cycle_s = _cycle_s(plan, loads)
         self.bound_tps += plan.bound_tps
-        self.paces.reset_guess(cycle_s * HEADROOM)
+        self.token_times.reset_initial(cycle_s * HEADROOM)
         for load in loads:
             load.goal = plan.weight_by_target[load.target.id]
             load.resize(little_limit(load.goal, cycle_s))
@@ -366,29 +368,29 @@
     def _pick_service(
         self, long: bool, excluded: frozenset[str], forced: bool
     ) -> Claim | None:
-        fitting = [
+        candidates = [
             load
             for load in self.loads_by_id.values()
             if load.target.id not in excluded
             and (load.has_room(False) or (forced and load.usable))
         ]
-        if not fitting:
+        if not candidates:
             return None
-        load = min(fitting, key=attrgetter("score"))
+        load = min(candidates, key=attrgetter("score"))
         return Claim(
             (load,),
             (),
             long,
             full_step_s(load.target),
-            self.paces.overall.mean_s,
+            self.token_times.overall.mean_s,
             target=load.target,
         )
 
 
 def _cycle_s(plan: FlowPlan, loads: list[TargetLoad]) -> float:
-    """Return the mean seconds that a token needs through all stages."""
-    passed = sum(
+    """Return the mean seconds that a token takes through all stages."""
+    weighted_s = sum(
         plan.weight_by_target[load.target.id] * full_step_s(load.target)
         for load in loads
     )
-    return passed / plan.bound_tps
+    return weighted_s / plan.bound_tps
--- a/radishfield/decisions/_queues.py
+++ b/radishfield/decisions/_queues.py
@@ -1,18 +1,18 @@
-"""What waits, and in which order it leaves.
+"""Queues of waiting work, and the order in which it is dispatched.
 
-Load pattern: two workspaces send nine tenths of the load; one request in twenty
-is fifty times longer.  In one queue by arrival, everyone waits behind the
-largest sender and the longest work.  Here:
+When two workspaces send nine tenths of the load, or one request in twenty is
+fifty times longer, a single queue by arrival makes everyone wait behind the
+largest sender and the longest work.  Instead:
 
-- priorities are strict; within one, short and long work wait in lanes of their
-  own, and the short lane gets four tokens for each one of the long lane while
-  both have work, so that neither starves;
-- within a lane, workspaces share tokens evenly (start-time fair queueing), and
-  within a workspace the earliest deadline goes first.
+- Priorities are strict.  Within one priority, short and long work wait in
+  separate lanes.  The short lane gets four tokens for each one of the long lane
+  while both have work, so that neither starves.
+- Within a lane, workspaces share tokens evenly (start-time fair queueing).
+  Within a workspace, the earliest deadline goes first.
 
-State is kept for workspaces that have work waiting.  A workspace that fell idle
-is remembered only while its used share lies ahead of the others', and at most
-`MAX_IDLE_WORKSPACES` of them: 42,000 idle workspaces cost nothing.
+State is kept for workspaces that have work waiting.  A workspace that became
+idle is kept only while its used share is ahead of the others', and at most
+`MAX_IDLE_WORKSPACES` of them, so 42,000 idle workspaces cost nothing.
 """
 
 import enum
@@ -24,24 +24,25 @@
 from radishfield.decisions._data import Work
 
 LONG_TOKENS = 400.0
-"""Expected cost from which work goes to the long lane: several times a notice
-or a summary, well under a full review."""
+"""Expected cost from which work goes to the long lane.  It is several times a
+notice or a summary, and well below a full review."""
 
 LANE_WEIGHT = (4.0, 1.0)
-"""Tokens for the short and the long lane while both wait.  A fifth keeps long
-work moving; four fifths keep short work's wait near that without long work."""
+"""Relative shares of tokens for the short and the long lane while both have
+work.  A fifth keeps long work moving.  Four fifths keep the wait of short work
+near what it is without long work."""
 
 MAX_IDLE_WORKSPACES = 4096
-"""Idle workspaces remembered at most; forgetting one gives it back at most one
-request's worth of share."""
+"""Maximum number of idle workspaces kept.  Dropping one gives it back at most
+one request's worth of share."""
 
 
-MIN_DEAD = 256
-"""Withdrawn entries kept at the least, so that dropping them is rare."""
+MIN_WITHDRAWN = 256
+"""Withdrawn entries that may always stay, so that removing them is rare."""
 
 
 class Lane(enum.IntEnum):
-    """Short work and long work wait apart."""
+    """Separate lanes for short and for long work."""
 
     SHORT = 0
     LONG = 1
@@ -49,7 +50,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """Work that waits.
+    """Waiting work.
 
     Attributes
     ----------
@@ -75,29 +76,29 @@
 
     __slots__ = (
         "backlog",
-        "_alive",
+        "_live_ids",
         "_backlog_by_workspace",
         "_entries_by_workspace",
-        "_held",
+        "_stored",
         "_order",
         "_sequence",
         "_tag_by_workspace",
-        "_virtual",
+        "_virtual_time",
     )
 
     def __init__(self, sequence: itertools.count):
         self.backlog = 0.0
-        self._alive: set[str] = set()
+        self._live_ids: set[str] = set()
         self._backlog_by_workspace: dict[str, float] = {}
         self._entries_by_workspace: dict[str, list[tuple[float, int, Entry]]] = {}
-        self._held = 0
+        self._stored = 0
         self._order: list[tuple[float, int, str]] = []
         self._sequence = sequence
         self._tag_by_workspace: dict[str, float] = {}
-        self._virtual = 0.0
+        self._virtual_time = 0.0
 
     def __len__(self):
-        return len(self._alive)
+        return len(self._live_ids)
 
     @property
     def workspaces(self) -> int:
@@ -114,11 +115,11 @@
         waiting = self._entries_by_workspace.get(name)
         if waiting is None:
             waiting = self._entries_by_workspace[name] = []
-            tag = max(self._virtual, self._tag_by_workspace.pop(name, 0.0))
+            tag = max(self._virtual_time, self._tag_by_workspace.pop(name, 0.0))
             heapq.heappush(self._order, (tag, next(self._sequence), name))
         heapq.heappush(waiting, (entry.work.deadline, next(self._sequence), entry))
-        self._alive.add(entry.work.request_id)
-        self._held += 1
+        self._live_ids.add(entry.work.request_id)
+        self._stored += 1
         self.backlog += entry.cost
         self._backlog_by_workspace[name] = self.backlog_of(name) + entry.cost
 
@@ -127,64 +128,66 @@
         while self._order:
             tag, _, name = self._order[0]
             waiting = self._entries_by_workspace[name]
-            while waiting and waiting[0][2].work.request_id not in self._alive:
+            while waiting and waiting[0][2].work.request_id not in self._live_ids:
                 heapq.heappop(waiting)
-                self._held -= 1
+                self._stored -= 1
             if waiting:
                 return waiting[0][2]
             heapq.heappop(self._order)
-            self._fall_idle(name, tag)
+            self._mark_idle(name, tag)
         return None
 
     def pop(self) -> Entry:
         """Remove and return the entry that `peek` returned."""
         tag, _, name = self._order[0]
         _, _, entry = heapq.heappop(self._entries_by_workspace[name])
-        self._held -= 1
-        self._virtual = max(self._virtual, tag)
+        self._stored -= 1
+        self._virtual_time = max(self._virtual_time, tag)
         heapq.heapreplace(self._order, (tag + entry.cost, next(self._sequence), name))
-        self._forget(entry)
+        self._subtract(entry)
         return entry
 
     def discard(self, entry: Entry) -> None:
-        """Remove an entry from wherever it stands."""
-        self._forget(entry)
-        dead = self._held - len(self._alive)
-        if dead > MIN_DEAD and dead > len(self._alive):
+        """Remove an entry at any position."""
+        self._subtract(entry)
+        withdrawn = self._stored - len(self._live_ids)
+        if withdrawn > MIN_WITHDRAWN and withdrawn > len(self._live_ids):
             self._compact()
 
     def _compact(self) -> None:
-        """Drop withdrawn entries where they stand, once they are the most."""
+        """Remove all withdrawn entries, once they are the majority."""
         tags = {name: tag for tag, _, name in self._order}
         for name, waiting in list(self._entries_by_workspace.items()):
             waiting[:] = [
-                item for item in waiting if item[2].work.request_id in self._alive
+                item for item in waiting if item[2].work.request_id in self._live_ids
             ]
             heapq.heapify(waiting)
             if not waiting:
-                self._fall_idle(name, tags[name])
+                self._mark_idle(name, tags[name])
         self._order = [i for i in self._order if i[2] in self._entries_by_workspace]
         heapq.heapify(self._order)
-        self._held = len(self._alive)
+        self._stored = len(self._live_ids)
 
-    def _forget(self, entry: Entry) -> None:
-        self._alive.discard(entry.work.request_id)
+    def _subtract(self, entry: Entry) -> None:
+        self._live_ids.discard(entry.work.request_id)
         self.backlog = max(0.0, self.backlog - entry.cost)
         name = entry.work.workspace
-        left = self._backlog_by_workspace[name] - entry.cost
-        if left > 1e-6:
-            self._backlog_by_workspace[name] = left
+        remaining = self._backlog_by_workspace[name] - entry.cost
+        if remaining > 1e-6:
+            self._backlog_by_workspace[name] = remaining
         else:
             del self._backlog_by_workspace[name]
 
-    def _fall_idle(self, name: str, tag: float) -> None:
+    def _mark_idle(self, name: str, tag: float) -> None:
         del self._entries_by_workspace[name]
-        if tag <= self._virtual:
+        if tag <= self._virtual_time:
             return
         self._tag_by_workspace[name] = tag
         if len(self._tag_by_workspace) <= MAX_IDLE_WORKSPACES:
             return
-        ahead = {k: v for k, v in self._tag_by_workspace.items() if v > self._virtual}
+        ahead = {
+            k: v for k, v in self._tag_by_workspace.items() if v > self._virtual_time
+        }
         heaviest = heapq.nlargest(
             MAX_IDLE_WORKSPACES // 2, ahead.items(), key=lambda item: item[1]
         )
@@ -192,15 +195,15 @@
 
 
 class WorkQueue:
-    """All that waits for one model or one kind of service."""
+    """All waiting work of one model or one kind of service."""
 
-    __slots__ = ("_entries_by_request", "_queues", "_served", "_expiry")
+    __slots__ = ("_entries_by_request", "_queues", "_weighted_tokens", "_expiry")
 
     def __init__(self):
         sequence = itertools.count()
         self._entries_by_request: dict[str, Entry] = {}
         self._queues = [[FairQueue(sequence) for _ in Lane] for _ in Priority]
-        self._served = [[0.0 for _ in Lane] for _ in Priority]
+        self._weighted_tokens = [[0.0 for _ in Lane] for _ in Priority]
         self._expiry: list[tuple[float, str]] = []
 
     def __len__(self):
@@ -214,16 +217,16 @@
         self._entries_by_request[entry.work.request_id] = entry
         lanes = self._queues[entry.work.priority]
         if not lanes[entry.lane]:
-            # A lane that was empty has no claim on the time it did not use.
-            served = self._served[entry.work.priority]
+            # A lane gets no credit for the time in which it was empty.
+            served = self._weighted_tokens[entry.work.priority]
             served[entry.lane] = max(served[entry.lane], served[1 - entry.lane])
         lanes[entry.lane].push(entry)
         heapq.heappush(self._expiry, (entry.latest_start, entry.work.request_id))
 
     def heads(self, priority: Priority) -> list[Entry]:
-        """Return the next entry of each lane, the lane that is due first."""
+        """Return the next entry of each lane, starting with the lane that is due."""
         lanes = self._queues[priority]
-        served = self._served[priority]
+        served = self._weighted_tokens[priority]
         first = Lane.SHORT if served[Lane.SHORT] <= served[Lane.LONG] else Lane.LONG
         heads = (lanes[first].peek(), lanes[1 - first].peek())
         return [head for head in heads if head is not None]
@@ -239,8 +242,8 @@
         queue = self._queues[priority][lane]
         queue.pop()
         if not len(queue):
-            queue.peek()  # Lets go of the last workspace's state.
-        self._served[priority][lane] += entry.cost / LANE_WEIGHT[lane]
+            queue.peek()  # Drops the last workspace's state.
+        self._weighted_tokens[priority][lane] += entry.cost / LANE_WEIGHT[lane]
         del self._entries_by_request[entry.work.request_id]
 
     def withdraw(self, request_id: str) -> Entry | None:
@@ -248,13 +251,13 @@
         entry = self._entries_by_request.pop(request_id, None)
         if entry is not None:
             self._queues[entry.work.priority][entry.lane].discard(entry)
-        if len(self._expiry) > MIN_DEAD + 2 * len(self._entries_by_request):
+        if len(self._expiry) > MIN_WITHDRAWN + 2 * len(self._entries_by_request):
             self._expiry = [i for i in self._expiry if i[1] in self._entries_by_request]
             heapq.heapify(self._expiry)
         return entry
 
     def expire(self, now: float) -> list[Entry]:
-        """Remove and return what can no longer finish on time."""
+        """Remove and return entries that can no longer finish on time."""
         expired = []
         while self._expiry and self._expiry[0][0] <= now:
             _, request_id = heapq.heappop(self._expiry)
@@ -265,21 +268,21 @@
         return expired
 
     def next_expiry(self) -> float | None:
-        """Return when the next entry leaves by itself."""
+        """Return when the next entry expires."""
         while self._expiry and self._expiry[0][1] not in self._entries_by_request:
             heapq.heappop(self._expiry)
         return self._expiry[0][0] if self._expiry else None
 
     def backlog(self) -> float:
-        """Return all tokens that wait."""
+        """Return the tokens of all waiting work."""
         return sum(queue.backlog for lanes in self._queues for queue in lanes)
 
     def ahead_of(self, work: Work, cost: float, lane: Lane) -> float:
-        """Return the tokens that leave before new work would.
+        """Return the tokens that would be dispatched before new work.
 
-        Higher priorities go first.  Within its own priority and lane the
-        workspace waits for its own backlog and as much of each other one's;
-        the other lane gets its weight meanwhile.
+        Higher priorities go first.  Within its own priority and lane, the
+        workspace waits for its own backlog and as much of each other
+        workspace's.  Meanwhile the other lane gets its weighted share.
         """
         higher = sum(
             queue.backlog for lanes in self._queues[: work.priority] for queue in lanes
@@ -288,8 +291,8 @@
         own = own_lane.backlog_of(work.workspace) + cost
         fair = min(own_lane.backlog, own * max(1, own_lane.workspaces))
         other = self._queues[work.priority][1 - lane]
-        meanwhile = fair * LANE_WEIGHT[1 - lane] / LANE_WEIGHT[lane]
-        return higher + fair + min(other.backlog, meanwhile)
+        other_share = fair * LANE_WEIGHT[1 - lane] / LANE_WEIGHT[lane]
+        return higher + fair + min(other.backlog, other_share)
 
     def over_share(self, work: Work) -> bool:
         """Tell whether a workspace has more waiting than an even share."""
--- a/radishfield/decisions/_recovery.py
+++ b/radishfield/decisions/_recovery.py
@@ -1,14 +1,14 @@
-"""How a pipeline goes on after one of its stages died, and how many at once.
+"""How streams resume after a stage died, and how many resume at once.
 
-Load pattern: a stage dies in the middle of a token under load, and every stream
-through it needs its cache again.  A rebuild runs the prompt and all committed
-tokens through the model once more; an import copies the cache from stages that
-still hold it.  When a zone dies, a third of all streams need it in the same
-instant; all rebuilt at once, they take the whole fleet from the streams that
-still run, these miss their deadlines too, and nothing finishes.
+When a stage dies in the middle of a token under load, every stream through it
+needs its cache again.  A rebuild runs the prompt and all committed tokens
+through the model once more.  An import copies the cache from stages that still
+hold it.  When a zone dies, a third of all streams need their cache at the same
+time.  If all of them are rebuilt at once, they take the whole fleet from the
+streams that still run, these miss their deadlines too, and nothing finishes.
 
-So the way that is expected to be sooner is taken, and rebuilds pass a bucket
-that leaves most of the fleet to running work.
+Therefore the method that is expected to be faster is chosen, and a bucket
+limits rebuilds so that most of the fleet is left to running work.
 """
 
 from dataclasses import dataclass
@@ -16,21 +16,21 @@
 from radishfield.decisions._lengths import PROMPT_TOKEN_COST
 
 IMPORT_SETUP_S = 0.02
-"""An export and an import are two calls and their connections."""
+"""An export and an import take two calls and their connections."""
 
 IMPORT_POSITIONS_PER_S = 5000.0
-"""Positions a second for the stages' caches on a link between zones; the port
-hands the cache through the entry host, so it is slower than the link."""
+"""Positions per second for the stages' caches on a link between zones.  The port
+forwards the cache through the entry host, so it is slower than the link."""
 
-REBUILD_PART = 0.4
-"""Part of this host's share of the fleet that rebuilds may take."""
+REBUILD_SHARE = 0.4
+"""Fraction of this host's share of the fleet that rebuilds may take."""
 
 REBUILD_BURST_S = 1.0
-"""Seconds of that part that may start at once: a single dead stage's streams
-go on without delay."""
+"""Seconds of that fraction that may start at once, so that the streams of a
+single dead stage resume without delay."""
 
 MAX_DELAY_PART = 0.5
-"""Part of the time left before its deadline that a stream may wait."""
+"""Fraction of the time left before its deadline that a stream may wait."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -44,14 +44,14 @@
 def choose_resumption(
     prompt_tokens: int, committed: int, step_s: float, holders_alive: bool
 ) -> Resumption:
-    """Return the way that is expected to be sooner.
+    """Return the method that is expected to be faster.
 
     Parameters
     ----------
     step_s : float
         Seconds that one token takes through the new route.
     holders_alive : bool
-        Whether every layer of the cache stands on a target that still answers.
+        Whether every layer of the cache is held by a target that still answers.
     """
     positions = prompt_tokens + committed
     rebuild_s = rebuild_cost(prompt_tokens, committed) * step_s
@@ -67,27 +67,29 @@
 
 
 class RebuildPacer:
-    """A bucket of rebuild work; what it lacks is waited for."""
+    """A leaky bucket of rebuild work; rebuilds that exceed it have to wait."""
 
-    __slots__ = ("_level", "_at")
+    __slots__ = ("_level", "_updated_at")
 
     def __init__(self):
         self._level = 0.0
-        self._at = 0.0
+        self._updated_at = 0.0
 
-    def reserve(self, cost: float, part_tps: float, left_s: float, now: float) -> float:
-        """Take a rebuild's cost out and return the seconds to wait first.
+    def reserve(
+        self, cost: float, share_tps: float, left_s: float, now: float
+    ) -> float:
+        """Add a rebuild's cost and return the seconds to wait before it starts.
 
         Parameters
         ----------
         part_tps : float
-            This host's part of the fleet, in tokens per second.
+            This host's share of the fleet, in tokens per second.
         left_s : float
             Seconds until the request's deadline.
         """
-        rate = max(part_tps * REBUILD_PART, 1.0)
-        self._level = max(0.0, self._level - (now - self._at) * rate)
-        self._at = now
+        rate = max(share_tps * REBUILD_SHARE, 1.0)
+        self._level = max(0.0, self._level - (now - self._updated_at) * rate)
+        self._updated_at = now
         wait_s = max(0.0, self._level / rate - REBUILD_BURST_S)
         self._level += cost
         return min(wait_s, left_s * MAX_DELAY_PART)
--- a/radishfield/decisions/_retries.py
+++ b/radishfield/decisions/_retries.py
@@ -1,16 +1,16 @@
-"""What follows a failed attempt: another one, or the end.
+"""Rules for whether a failed attempt is followed by another one.
 
-Load pattern: a target or a link fails under load, and each request that it cut
-is sent again.  Without a bound the repeats are the overload that keeps the
-fleet failing after the cause is gone.  Without the rule on what may run twice,
-two conflicting reviews reach one ticket.
+When a target or a link fails under load, each request that it interrupted is
+sent again.  Without a bound, the retries are the overload that keeps the fleet
+failing after the cause is gone.  Without the rule on what may run twice, two
+conflicting reviews reach one ticket.
 
 - Work that is not idempotent is never sent again once a byte of it may have
-  reached a target: it ends, and the caller is told that the outcome is unknown.
-- Nothing is sent again that can no longer finish before its deadline.
-- Repeats draw on a budget of a few in a hundred requests.  Streams cut by a
-  dead stage, or by a target that forgot them, do not: they are work that was
-  admitted and is partly done, and they are paced by `_recovery` instead.
+  reached a target.  It ends with the outcome "unknown" for the caller.
+- Work that can no longer finish before its deadline is not sent again.
+- Retries draw on a budget of a few per hundred requests.  Streams interrupted by
+  a dead stage, or by a target that no longer has them, do not.  They are work
+  that was admitted and is partly done, and `_recovery` paces them instead.
 """
 
 from radishfield.core import Fault, Outcome, ResultCode
@@ -18,14 +18,14 @@
 from radishfield.limits import RetryAllowance
 
 MAX_ATTEMPTS = 4
-"""Three repeats: with one target in ten bad, one request in ten thousand would
+"""Three retries: with one target in ten bad, one request in ten thousand would
 need a fifth attempt."""
 
 HOST_ALLOWANCE = RetryAllowance(ratio=0.05, window_s=10.0, slack=10, safety=1.0)
-"""Five repeats for a hundred requests of the last ten seconds, and ten besides,
-so that a quiet host may repeat at all.  Each host has its own."""
+"""Five retries per hundred requests of the last ten seconds, plus ten so that a
+host with little traffic can retry at all.  Each host has its own budget."""
 
-RECOVERED = frozenset(
+RECOVERABLE_KINDS = frozenset(
     {
         FailureKind.BROKEN,
         FailureKind.CONNECT,
@@ -33,8 +33,8 @@
         FailureKind.REFUSED,
     }
 )
-"""Ways in which a started stream is cut.  A target refuses to go on with one that
-it forgot in a restart, and a full one refuses to resume one."""
+"""Failures that interrupt a started stream.  A target refuses to continue a
+stream that it lost in a restart, and a full target refuses to resume one."""
 
 CODE_BY_KIND = {
     FailureKind.REFUSED: ResultCode.TARGET_REFUSED,
@@ -60,7 +60,7 @@
 def forbids(
     work: Work, failure: Failure, attempt: int, ever_started: bool, now: float
 ) -> Fault | None:
-    """Return why there is no further attempt, or None if there may be one."""
+    """Return the fault that rules out another attempt, or None if one is allowed."""
     if ever_started and not work.idempotent:
         return end_fault(failure, CODE_BY_KIND[failure.kind], True)
     if now >= work.deadline:
@@ -71,5 +71,5 @@
 
 
 def is_recovery(failure: Failure) -> bool:
-    """Tell whether this resumes a cut stream, rather than repeats a request."""
-    return failure.started and failure.kind in RECOVERED
+    """Tell whether this resumes an interrupted stream, not retries a request."""
+    return failure.started and failure.kind in RECOVERABLE_KINDS
--- a/radishfield/decisions/_routes.py
+++ b/radishfield/decisions/_routes.py
@@ -1,15 +1,17 @@
-"""Which chain of targets runs a request.
-
-Load pattern: mixed accelerators in three zones, joined by links that differ a
-hundredfold.  A chain picked without regard to the links queues on the slowest;
-one picked by an idle-looking report sends every entry host the same way.
-
-The walk goes from layer 0 to the last.  At each boundary it takes, among the
-targets that hold the next layer and have room, the one with the least work in
-flight for its weight; the entry host's present zone first, another zone when
-the local ones are nearly full, and only over links with room.  A range that
-begins earlier is used in part, so ranges may overlap.  One walk stays in one
-model version.  A dead end is stepped back from, within `MAX_STEPS`.
+"""Choice of the chain of targets that runs a request.
+
+Mixed accelerators in three zones are joined by links whose rates differ a
+hundredfold.  A chain chosen without regard to the links queues on the slowest.
+Choosing by reports that show idle targets sends every entry host to the same
+ones.
+
+The search goes from layer 0 to the last.  At each boundary it takes, among the
+targets that hold the next layer and have free capacity, the one with the least
+work in flight for its weight.  The current zone comes first, initially that of
+the entry host.  Another zone is compared when the local targets are nearly full,
+and only over links with free capacity.  A range that begins earlier is used in
+part, so ranges may overlap.  One search stays in one model version.  It
+backtracks from dead ends, within `MAX_STEPS`.
 """
 
 import math
@@ -22,18 +24,18 @@
 from radishfield.decisions._limits import TargetLoad
 
 MAX_STEPS = 64
-"""Targets tried in one walk; a model has some 4 to 16 stages."""
+"""Targets tried in one search; a model has about 4 to 16 stages."""
 
 SAMPLE = 12
 """Targets compared at one boundary.  The best of a dozen is within a few
 percent of the best of all, at a cost that does not grow with the fleet."""
 
 SPILL_USE = 0.85
-"""Use of the local share from which other zones are compared as well: before
+"""Use of the local share from which other zones are compared as well.  Below
 it, a hop over a link costs more than a fuller batch."""
 
-CROSSING_USE = 0.15
-"""Use added to another zone's target: the price of the hop."""
+CROSSING_PENALTY = 0.15
+"""Use added to another zone's target as the cost of the hop."""
 
 
 BY_SCORE = attrgetter("score")
@@ -57,14 +59,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _Wanted:
-    """What one walk looks for.
+class _Criteria:
+    """Criteria of one search.
 
     Attributes
     ----------
-    anywhere : bool
-        Whether other zones are tried though the local one is not full: the
-        second walk, after the first met a dead end.
+    any_zone : bool
+        Whether other zones are tried although the local one is not full.  Set
+        for the second search, after the first met a dead end.
     """
 
     long: bool
@@ -72,11 +74,11 @@
     preferred: frozenset[str]
     forced: bool
     fast: bool
-    anywhere: bool
+    any_zone: bool
 
     @property
     def order(self) -> Callable[[TargetLoad], float]:
-        """Return what targets are ordered by; the lowest goes first."""
+        """Return the sort key for targets; the lowest is tried first."""
         return BY_STAGE_TIME if self.fast else BY_SCORE
 
     def fits(self, load: TargetLoad) -> bool:
@@ -89,7 +91,7 @@
 
 
 class Chooser:
-    """Chains for one model version."""
+    """Chooses chains for one model version."""
 
     __slots__ = (
         "model",
@@ -99,10 +101,10 @@
         "_zone",
         "_loads_by_zone_layer",
         "_crossings_by_pair",
-        "_cuts",
+        "_vertex_cuts",
         "_zones",
         "_stayed_local",
-        "_turn",
+        "_rotation",
     )
 
     def __init__(
@@ -119,12 +121,12 @@
         self.model_layers = first.model_layers
         self.bound_tps = bound_tps
         self._zone = zone
-        self._turn = 0
+        self._rotation = 0
         self._stayed_local = False
-        self._loads_by_zone_layer = _by_boundary(loads)
+        self._loads_by_zone_layer = _index_by_boundary(loads)
         self._crossings_by_pair = crossings_by_pair
         self._zones = _nearest_zones(loads, links, zone)
-        self._cuts = _cuts(loads)
+        self._vertex_cuts = _vertex_cuts(loads)
 
     def choose(
         self,
@@ -134,35 +136,36 @@
         forced: bool = False,
         fast: bool = False,
     ) -> list[TargetLoad] | None:
-        """Return a chain whose every target and link has room, or None.
+        """Return a chain whose every target and link has free capacity, or None.
 
         Parameters
         ----------
         preferred : frozenset of str
-            Targets to take where they can be, because they hold a cache.
+            Targets to take where possible, because they hold a cache.
         forced : bool
-            Whether to ignore limits: work that was cut must not lose its turn.
+            Whether to ignore limits, since interrupted work must not lose its turn.
         fast : bool
-            Whether to take the quickest targets with room, not the least loaded.
+            Whether to take the quickest targets with free capacity, not the least
+            loaded.
         """
-        self._turn += 1
+        self._rotation += 1
         self._stayed_local = False
         if not forced and self._is_full():
             return None
-        wanted = _Wanted(long, excluded, preferred, forced, fast, False)
-        chain = self._walk(wanted)
+        criteria = _Criteria(long, excluded, preferred, forced, fast, False)
+        chain = self._search(criteria)
         if chain is None and self._stayed_local:
-            chain = self._walk(replace(wanted, anywhere=True))
+            chain = self._search(replace(criteria, any_zone=True))
         return chain
 
-    def _walk(self, wanted: _Wanted) -> list[TargetLoad] | None:
-        """Return the first whole chain, stepping back from dead ends."""
+    def _search(self, criteria: _Criteria) -> list[TargetLoad] | None:
+        """Return the first complete chain, backtracking from dead ends."""
         steps_left = MAX_STEPS
         chain: list[TargetLoad] = []
-        # What lies behind a boundary does not depend on the way to it: one that
-        # led nowhere once is not tried again, or a full fleet costs every walk.
+        # The rest of a chain does not depend on how its boundary was reached, so a
+        # dead end is not tried again.  Else every search is costly in a full fleet.
         seen: set[tuple[str, int]] = set()
-        options = [self._options(self._zone, 0, wanted)]
+        options = [self._options(self._zone, 0, criteria)]
         while options and steps_left > 0:
             if not options[-1]:
                 options.pop()
@@ -174,21 +177,21 @@
             end = load.target.layers.end
             if end == self.model_layers:
                 return [*chain, load]
-            place = load.target.zone, end
-            if place in seen:
+            boundary = load.target.zone, end
+            if boundary in seen:
                 continue
-            seen.add(place)
+            seen.add(boundary)
             chain.append(load)
-            options.append(self._options(load.target.zone, end, wanted))
+            options.append(self._options(load.target.zone, end, criteria))
         return None
 
     def _is_full(self) -> bool:
-        """Tell cheaply whether some layer has no place left, so no walk can end.
+        """Tell cheaply whether some layer is full, so that no chain can be found.
 
-        Under overload every second walk would fail, after trying each way to
-        the layer that is full.
+        Without this check, every second search fails under overload, after trying
+        each candidate path to the layer that is full.
         """
-        for loads in self._cuts:
+        for loads in self._vertex_cuts:
             for load in loads:
                 if load.own < load.room:
                     break
@@ -199,39 +202,39 @@
     def covered(self, excluded: frozenset[str] = frozenset()) -> bool:
         """Tell whether live targets cover the model, full or not.
 
-        Zones without a link between them cover nothing together: a chain that
-        is counted but cannot be walked would refuse everybody.
+        Zones without a link between them cannot cover the model together.
+        Counting a chain that no search can build would refuse every request.
         """
         todo = [(zone, 0) for zone in self._zones]
         reached = set(todo)
         while todo:
             zone, layer = todo.pop()
             for load in self._next_loads(zone, layer):
-                place = load.target.zone, load.target.layers.end
+                boundary = load.target.zone, load.target.layers.end
                 if not load.usable or load.target.id in excluded:
                     continue
-                if place[1] == self.model_layers:
+                if boundary[1] == self.model_layers:
                     return True
-                if place not in reached:
-                    reached.add(place)
-                    todo.append(place)
+                if boundary not in reached:
+                    reached.add(boundary)
+                    todo.append(boundary)
         return False
 
     def _next_loads(self, zone: str, layer: int) -> list[TargetLoad]:
-        """Return what holds a layer in a zone, or over a link from it."""
-        near = [
+        """Return targets that hold a layer in a zone, or in one linked from it."""
+        reachable_zones = [
             name
             for name in self._zones
             if name == zone or (layer > 0 and (zone, name) in self._crossings_by_pair)
         ]
         return [
             load
-            for name in near
+            for name in reachable_zones
             for load in self._loads_by_zone_layer.get((name, layer), ())
         ]
 
     def quickest_s(self) -> float:
-        """Return the least expected seconds of a token over any whole chain."""
+        """Return the least expected seconds of a token over any complete chain."""
         best_s = {0: 0.0}
         for layer in sorted({layer for _, layer in self._loads_by_zone_layer}):
             if layer not in best_s:
@@ -251,63 +254,69 @@
         found = (self._crossings_by_pair.get(pair) for pair in pairs)
         return [crossing for crossing in found if crossing is not None]
 
-    def _options(self, zone: str, layer: int, wanted: _Wanted) -> list[TargetLoad]:
+    def _options(self, zone: str, layer: int, criteria: _Criteria) -> list[TargetLoad]:
         """Return targets to try, the best one last."""
-        local = self._with_room(zone, layer, wanted)
-        if wanted.preferred:
-            kept = self._preferred(layer, wanted)
+        local = self._candidates(zone, layer, criteria)
+        if criteria.preferred:
+            kept = self._preferred(layer, criteria)
             if kept:
-                local.sort(key=wanted.order, reverse=True)
+                local.sort(key=criteria.order, reverse=True)
                 return local + kept
         best_use = min((load.use for load in local), default=1.0)
-        if best_use < SPILL_USE and not wanted.anywhere:
+        if best_use < SPILL_USE and not criteria.any_zone:
             self._stayed_local = True
-            local.sort(key=wanted.order, reverse=True)
+            local.sort(key=criteria.order, reverse=True)
             return local
         others = []
         for name in self._zones:
             if name != zone and self._may_cross(zone, name, layer):
-                others += self._with_room(name, layer, wanted)
+                others += self._candidates(name, layer, criteria)
                 if len(others) >= SAMPLE:
                     break
-        nearer = [load for load in others if load.use + CROSSING_USE < best_use]
-        farther = [load for load in others if load.use + CROSSING_USE >= best_use]
-        for loads in (farther, local, nearer):
-            loads.sort(key=wanted.order, reverse=True)
-        return farther + local + nearer
-
-    def _preferred(self, layer: int, wanted: _Wanted) -> list[TargetLoad]:
-        """Return preferred targets of any zone: they hold the request's cache."""
+        before_local = [
+            load for load in others if load.use + CROSSING_PENALTY < best_use
+        ]
+        after_local = [
+            load for load in others if load.use + CROSSING_PENALTY >= best_use
+        ]
+        for loads in (after_local, local, before_local):
+            loads.sort(key=criteria.order, reverse=True)
+        return after_local + local + before_local
+
+    def _preferred(self, layer: int, criteria: _Criteria) -> list[TargetLoad]:
+        """Return preferred targets of any zone, as they hold the request's cache."""
         return [
             load
             for zone in self._zones
             for load in self._loads_by_zone_layer.get((zone, layer), ())
-            if load.target.id in wanted.preferred
-            and load.target.id not in wanted.excluded
+            if load.target.id in criteria.preferred
+            and load.target.id not in criteria.excluded
             and load.usable
             and not load.ejected
         ]
 
-    def _with_room(self, zone: str, layer: int, wanted: _Wanted) -> list[TargetLoad]:
+    def _candidates(
+        self, zone: str, layer: int, criteria: _Criteria
+    ) -> list[TargetLoad]:
         loads = self._loads_by_zone_layer.get((zone, layer))
         if not loads:
             return []
-        # Equals are taken in turn: else every idle entry host picks the same one.
-        start = self._turn * SAMPLE % len(loads) if len(loads) > SAMPLE else 0
-        start = start or self._turn % len(loads)
-        turned = loads[start:] + loads[:start]
-        found = _roomy(turned[:SAMPLE], wanted)
-        return found or _roomy(turned[SAMPLE:], wanted)
+        # Equal targets take turns; else every idle entry host picks the same one.
+        start = self._rotation * SAMPLE % len(loads) if len(loads) > SAMPLE else 0
+        start = start or self._rotation % len(loads)
+        rotated = loads[start:] + loads[:start]
+        found = _filter_free(rotated[:SAMPLE], criteria)
+        return found or _filter_free(rotated[SAMPLE:], criteria)
 
     def _may_cross(self, from_zone: str, to_zone: str, layer: int) -> bool:
-        """Tell whether a link has room; the prompt itself may start anywhere."""
+        """Tell whether a link has free capacity; a chain may start in any zone."""
         if layer == 0:
             return True
         crossing = self._crossings_by_pair.get((from_zone, to_zone))
         return crossing is not None and crossing.has_room()
 
     def route(self, chain: Sequence[TargetLoad]) -> Route:
-        """Return a chain as the route that the stages are told."""
+        """Return a chain as the route that is sent to its stages."""
         stages = []
         next_layer = 0
         for load in chain:
@@ -318,13 +327,13 @@
         return Route(tuple(stages), self.model, self.model_version, self.model_layers)
 
 
-def _roomy(loads: list[TargetLoad], wanted: _Wanted) -> list[TargetLoad]:
-    if wanted.excluded or wanted.forced or wanted.long:
-        return [load for load in loads if wanted.fits(load)]
+def _filter_free(loads: list[TargetLoad], criteria: _Criteria) -> list[TargetLoad]:
+    if criteria.excluded or criteria.forced or criteria.long:
+        return [load for load in loads if criteria.fits(load)]
     return [load for load in loads if load.own < load.room]
 
 
-def _by_boundary(
+def _index_by_boundary(
     loads: Sequence[TargetLoad],
 ) -> dict[tuple[str, int], list[TargetLoad]]:
     boundaries = {0} | {load.target.layers.end for load in loads}
@@ -336,8 +345,8 @@
     return dict(held)
 
 
-def _cuts(loads: Sequence[TargetLoad]) -> list[list[TargetLoad]]:
-    """Return, for each boundary that no range spans, the targets that go on there."""
+def _vertex_cuts(loads: Sequence[TargetLoad]) -> list[list[TargetLoad]]:
+    """Return, for each boundary that no range spans, the targets that start there."""
     ranges = [load.target.layers for load in loads]
     boundaries = sorted({0} | {layers.end for layers in ranges})
     return [
--- a/radishfield/decisions/_scheduler.py
+++ b/radishfield/decisions/_scheduler.py
@@ -1,4 +1,4 @@
-"""The decisions composed: one object that a dispatcher or a bench drives."""
+"""The scheduler, which combines all decisions in one object."""
 
 from collections.abc import Sequence
 from dataclasses import replace
@@ -30,63 +30,63 @@
 from radishfield.decisions._journal import Journal, Note
 from radishfield.decisions._lengths import LengthEstimate
 from radishfield.decisions._pool import Pool
-from radishfield.decisions._precedence import HeldShares, engine_priority
+from radishfield.decisions._precedence import WorkspaceLoad, engine_priority
 from radishfield.decisions._queues import Entry, Lane, WorkQueue, lane_for
 from radishfield.decisions._running import Running
-from radishfield.decisions._snapshot import Snapshot, view_of
+from radishfield.decisions._snapshot import Snapshot, build_snapshot
 
 TICK_S = 1.0
-"""Weights, stale reports and ejections are looked at once a second."""
+"""Weights, stale reports and ejections are checked once a second."""
 
 NO_TARGET_RETRY_S = 2.0
 """A fleet that covers no model now may do so after a restart or a placement."""
 
 QUICKEST_MARGIN = 1.15
-"""Over the quickest chain's time, for work that only this chain can finish: its
-targets may be full for a moment."""
+"""Factor on the quickest chain's time, for work that only this chain can finish,
+since its targets may be full for a moment."""
 
 START_MARGIN = 1.0
-"""Over the expected run at the start: a later start is more often late than
-not, and its places serve other work."""
+"""Factor on the expected run at the start.  Work started any later ends late
+more often than not, and its capacity can serve other work."""
 
 PoolKey = tuple[TargetKind, str]
 
 
 class Scheduler:
-    """Admission, queue, routes, limits, retries and recovery behind one face.
+    """Admission, queue, routes, limits, retries and recovery in one interface.
 
-    Every method is a plain call: ``now`` is a `Clock` reading in seconds.
-    Work passes exactly one way: offered, then either taken once as a
-    `Dispatch`, or ended by `Refused`, `Expired` or `withdraw`.
+    Every method is a plain call; ``now`` is a `Clock` reading in seconds.
+    Offered work leaves in exactly one way: it is taken once as a `Dispatch`, or
+    ended by `Refused`, `Expired` or `withdraw`.
     """
 
     __slots__ = (
         "_failures",
         "_fleet",
-        "_heard_at",
+        "_last_received_at",
         "_journal",
         "_lengths",
         "_pools_by_key",
         "_prefixes",
         "_queues_by_key",
         "_running_by_request",
-        "_shares",
+        "_workspace_load",
         "_ticked_at",
     )
 
     def __init__(self):
         self._failures = FailureDecider()
         self._fleet: tuple | None = None
-        # When any target was heard; None before the first load report, since
-        # without these a quiet host hears nobody although all is well.
-        self._heard_at: float | None = None
+        # When the last message of any target arrived.  None before the first load
+        # report: without these an idle host receives nothing although all is well.
+        self._last_received_at: float | None = None
         self._journal = Journal()
         self._lengths = LengthEstimate()
         self._pools_by_key: dict[PoolKey, Pool] = {}
         self._prefixes = PrefixIndex()
         self._queues_by_key: dict[PoolKey, WorkQueue] = {}
         self._running_by_request: dict[str, Running] = {}
-        self._shares = HeldShares()
+        self._workspace_load = WorkspaceLoad()
         self._ticked_at: float | None = None
 
     def set_fleet(
@@ -97,9 +97,9 @@
         entry_hosts: int,
         now: float,
     ) -> None:
-        """Replace the view of targets and links; ``entry_hosts`` share them.
+        """Replace the targets and links, which ``entry_hosts`` hosts share.
 
-        A fleet equal to the present one costs a comparison only.
+        A fleet equal to the current one costs only a comparison.
         """
         fleet = tuple(targets), tuple(links), zone, entry_hosts
         if fleet == self._fleet:
@@ -114,17 +114,17 @@
         self._prefixes.keep_only({target.id for target in targets})
 
     def observe_load(self, report: LoadReport, now: float) -> None:
-        """Take in a target's lagging load report."""
-        self._heard_at = now
+        """Apply a target's load report, which arrives with a delay."""
+        self._last_received_at = now
         for pool in self._pools_by_key.values():
             pool.observe(report, now)
 
     def observe_cache(self, event: CacheEvent, now: float) -> None:
-        """Take in a target's late cache event."""
+        """Apply a target's cache event, which arrives with a delay."""
         self._prefixes.observe(event, now)
 
     def target_leaving(self, target_id: str, now: float) -> None:
-        """Give a target no new work until it comes back as a new incarnation."""
+        """Send a target no new work until it comes back as a new incarnation."""
         for pool in self._pools_by_key.values():
             pool.leave(target_id)
 
@@ -142,9 +142,9 @@
             queue = self._queues_by_key[key] = WorkQueue()
         cost = self._lengths.expected_cost(work)
         lane = lane_for(cost)
-        light = self._shares.is_light(work.workspace, cost)
-        told = engine_priority(work.priority, lane, light)
-        run_s = self._run_s(pool, work, cost, told)
+        light = self._workspace_load.is_light(work.workspace, cost)
+        sent_priority = engine_priority(work.priority, lane, light)
+        run_s = self._run_s(pool, work, cost, sent_priority)
         ahead = queue.ahead_of(work, cost, lane) if len(queue) else 0.0
         forecast = Forecast(ahead / pool.drain_tps, run_s, len(queue), False)
         problem = judge(work, forecast, now)
@@ -152,24 +152,26 @@
             problem = judge(work, replace(forecast, over_share=True), now)
         if problem is not None:
             return self._refuse(work, problem, now)
-        latest_start = work.deadline - pool.paces.at(told).cautious_s(cost)
+        latest_start = work.deadline - pool.token_times.at(
+            sent_priority
+        ).conservative_s(cost)
         queue.push(Entry(work, cost, latest_start, lane))
-        self._shares.begin(work.workspace, cost)
+        self._workspace_load.begin(work.workspace, cost)
         self._journal.note(work.request_id, Note(now, "queued", f"{ahead:.0f} ahead"))
         return Queued(work.request_id)
 
     def withdraw(self, request_id: str, now: float) -> bool:
-        """Take work out of the queue; False if it is not in it (any more)."""
+        """Remove work from the queue; False if it is not in it (any more)."""
         for queue in self._queues_by_key.values():
             entry = queue.withdraw(request_id)
             if entry is not None:
-                self._shares.end(entry.work.workspace, entry.cost)
+                self._workspace_load.end(entry.work.workspace, entry.cost)
                 self._journal.note(request_id, Note(now, "withdrawn"))
                 return True
         return False
 
     def take(self, now: float) -> list[Dispatch | Expired]:
-        """Return the work to start or to end now; each entry comes once."""
+        """Return the work to start or to end now; each entry is returned once."""
         self._tick(now)
         taken: list[Dispatch | Expired] = []
         for key, queue in self._queues_by_key.items():
@@ -190,13 +192,13 @@
         return min((at for at in times if at is not None), default=None)
 
     def progressed(self, request_id: str, position: int, now: float) -> None:
-        """Note that the token at a position, from 0, was committed."""
+        """Record that the token at a position, from 0, was committed."""
         running = self._running_by_request.get(request_id)
         if running is None:
             return
-        if self._heard_at is not None:
-            self._heard_at = now
-        running.pool.drain.passed(running.advance(position, now))
+        if self._last_received_at is not None:
+            self._last_received_at = now
+        running.pool.drain.add_tokens(running.advance(position, now))
         token_s = running.sample_token_s()
         if token_s is not None:
             running.pool.learn_token(
@@ -204,21 +206,21 @@
             )
 
     def ended(self, request_id: str, finished: bool, now: float) -> None:
-        """Note that running work has ended and frees what it held."""
+        """Record that running work has ended, and release what it held."""
         running = self._running_by_request.pop(request_id, None)
         if running is None:
             return
         running.release()
-        self._shares.end(running.dispatch.work.workspace, running.cost)
+        self._workspace_load.end(running.dispatch.work.workspace, running.cost)
         self._journal.note(request_id, Note(now, "finished" if finished else "ended"))
         work, pool = running.dispatch.work, running.pool
         if work.kind is TargetKind.SERVICE:
-            running.pool.drain.passed(1)
-        if running.tells_pace():
-            # Work cut at its deadline counts too: it is the slow part.
-            told = running.dispatch.engine_priority
+            running.pool.drain.add_tokens(1)
+        if running.measures_token_time():
+            # Includes work stopped at its deadline, since that is the slowest work.
+            sent_priority = running.dispatch.engine_priority
             seconds = now - running.started_at
-            pool.paces.learn(told, seconds, running.cost_so_far())
+            pool.token_times.learn(sent_priority, seconds, running.cost_so_far())
         if not finished:
             return
         self._lengths.learn(work, running.tokens)
@@ -234,41 +236,44 @@
         return decision
 
     def may_replace(self, failure: Failure, since: float, now: float) -> bool:
-        """Tell whether another attempt could take a silent one's place now.
+        """Tell whether another attempt could replace a silent one now.
 
-        If none could, the attempt has to go on.  `failed` will not hear of the
-        silence then, so it is counted against the target here.  A host that
-        heard no target at all meanwhile is out of reach itself: that says
-        nothing about this target, and a start at another one would be lost.
+        If none could, the attempt has to continue.  `failed` is not called for
+        the silence then, so it is counted against the target here.  A host that
+        received nothing from any target meanwhile is unreachable itself.  Then
+        the silence does not implicate this target, and a start at another one
+        would be lost.
 
         Parameters
         ----------
         since : float
-            When the attempt's last connection was begun.
+            When the attempt's last connection was started.
         """
         running = self._running_by_request[failure.request_id]
-        quiet_from = max(since, running.last_at)
-        if self._heard_at is not None and self._heard_at <= quiet_from:
+        silent_from = max(since, running.last_progress_at)
+        if self._last_received_at is not None and self._last_received_at <= silent_from:
             return False
         return self._failures.may_replace(running, failure, now)
 
     def explain(self, request_id: str) -> tuple[Note, ...]:
-        """Return what was decided on a recent request, in order."""
+        """Return the decisions on a recent request, in order."""
         return self._journal.notes(request_id)
 
     def snapshot(self, now: float) -> Snapshot:
-        """Return the present state for status pages and metrics."""
-        return view_of(
+        """Return the current state for status pages and metrics."""
+        return build_snapshot(
             self._pools_by_key, self._queues_by_key, len(self._running_by_request)
         )
 
-    def _run_s(self, pool: Pool, work: Work, cost: float, told: Priority) -> float:
-        """Return a cautious run, on the quickest targets if it has to be."""
+    def _run_s(
+        self, pool: Pool, work: Work, cost: float, sent_priority: Priority
+    ) -> float:
+        """Return a conservative run time, on the quickest targets if needed."""
         spread = self._lengths.relative_spread(work)
-        run_s = pool.paces.at(told).cautious_s(cost, spread)
+        run_s = pool.token_times.at(sent_priority).conservative_s(cost, spread)
         if run_s <= work.deadline - work.arrived:
             return run_s
-        quickest_s = pool.quickest_s * pool.paces.factor(told) * cost
+        quickest_s = pool.quickest_s * pool.token_times.factor(sent_priority) * cost
         return min(run_s, quickest_s * (QUICKEST_MARGIN + spread))
 
     def _refuse(self, work: Work, problem, now: float) -> Refused:
@@ -279,11 +284,11 @@
     def _expire(
         self, pool: Pool, queue: WorkQueue, entry: Entry, now: float
     ) -> Expired:
-        # What waits now has to leave before a new try would start.
+        # All waiting work has to leave the queue before a new request would start.
         retry = spread_retry(entry.work, queue.backlog() / pool.drain_tps)
         detail = "can no longer finish on time"
         problem = fault(ResultCode.EXPIRED_IN_QUEUE, detail, retry)
-        self._shares.end(entry.work.workspace, entry.cost)
+        self._workspace_load.end(entry.work.workspace, entry.cost)
         self._journal.note(entry.work.request_id, Note(now, "expired"))
         return Expired(entry.work, problem)
 
@@ -294,10 +299,10 @@
         taken: list[Dispatch | Expired],
         now: float,
     ) -> None:
-        """Dispatch what has room, the highest priority first.
+        """Dispatch work that finds free capacity, the highest priority first.
 
-        Once short work of a priority finds no room, nothing below it is tried:
-        it would take the next place that frees.
+        Once short work of a priority finds none, no lower priority is tried, as
+        it would take the next capacity that becomes free.
         """
         if pool.full:
             return
@@ -308,40 +313,49 @@
                 if not heads:
                     break
                 entry = heads[0]
-                told = self._told(entry)
-                claim = self._claim_first(pool, entry, told, now)
+                sent_priority = self._sent_priority(entry)
+                claim = self._claim_for(pool, entry, sent_priority, now)
                 if claim is None:
                     blocked.add(entry.lane)
                     continue
                 queue.pop(entry)
-                if _too_late(claim, entry, pool.paces.factor(told), now):
+                if _would_end_late(
+                    claim, entry, pool.token_times.factor(sent_priority), now
+                ):
                     taken.append(self._expire(pool, queue, entry, now))
                 else:
-                    taken.append(self._start(pool, entry, claim, told, now))
+                    taken.append(self._start(pool, entry, claim, sent_priority, now))
             if Lane.SHORT in blocked:
                 return
 
-    def _claim_first(
-        self, pool: Pool, entry: Entry, told: Priority, now: float
+    def _claim_for(
+        self, pool: Pool, entry: Entry, sent_priority: Priority, now: float
     ) -> Claim | None:
         preferred: frozenset[str] = frozenset()
         if entry.work.prefix_key:
             holders = self._prefixes.holders(entry.work.prefix_key, now)
             preferred = pool.within_load_bound(holders)
-        # Work that is short of time gets the quickest targets with room.
+        # Work that is short of time gets the quickest targets with free capacity.
         left_s = entry.work.deadline - now
-        fast = left_s < pool.paces.at(told).cautious_s(entry.cost)
+        fast = left_s < pool.token_times.at(sent_priority).conservative_s(entry.cost)
         return pool.pick(entry.lane is Lane.LONG, preferred=preferred, fast=fast)
 
-    def _told(self, entry: Entry) -> Priority:
-        light = self._shares.is_light(entry.work.workspace)
+    def _sent_priority(self, entry: Entry) -> Priority:
+        light = self._workspace_load.is_light(entry.work.workspace)
         return engine_priority(entry.work.priority, entry.lane, light)
 
     def _start(
-        self, pool: Pool, entry: Entry, claim: Claim, told: Priority, now: float
+        self,
+        pool: Pool,
+        entry: Entry,
+        claim: Claim,
+        sent_priority: Priority,
+        now: float,
     ) -> Dispatch:
         work = entry.work
-        dispatch = Dispatch(work, 1, claim.route, claim.target, "least loaded", told)
+        dispatch = Dispatch(
+            work, 1, claim.route, claim.target, "least loaded", sent_priority
+        )
         pool.begin(claim)
         self._running_by_request[work.request_id] = Running(
             pool, dispatch, claim, now, entry.cost
@@ -369,7 +383,7 @@
                 pool.eject(target_id)
 
 
-def _too_late(claim: Claim, entry: Entry, factor: float, now: float) -> bool:
-    """Tell whether work would probably end late on the places found for it."""
+def _would_end_late(claim: Claim, entry: Entry, factor: float, now: float) -> bool:
+    """Tell whether work would probably end late on the targets of a claim."""
     run_s = claim.expected_s * factor * entry.cost * START_MARGIN
     return now + run_s > entry.work.deadline
--- a/radishfield/decisions/_snapshot.py
+++ b/radishfield/decisions/_snapshot.py
@@ -1,4 +1,4 @@
-"""The decisions' state as data, for status pages and metrics."""
+"""Snapshots of queues and targets, for status pages and metrics."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PoolView:
-    """One model or service: what waits and what the hardware allows."""
+    """One model or service: its queue, and the rates that the hardware allows."""
 
     kind: TargetKind
     model: str
@@ -38,18 +38,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Snapshot:
-    """Everything that waits and runs at this entry host."""
+    """All waiting and running work at this entry host."""
 
     running: int
     pools: tuple[PoolView, ...]
 
 
-def view_of(
+def build_snapshot(
     pools_by_key: Mapping[tuple[TargetKind, str], Pool],
     queues_by_key: Mapping[tuple[TargetKind, str], WorkQueue],
     running: int,
 ) -> Snapshot:
-    """Return the present state."""
+    """Return the current state."""
     views = [
         _pool_view(key, pool, queues_by_key.get(key))
         for key, pool in pools_by_key.items()
@@ -80,6 +80,6 @@
         queue.backlog() if queue is not None else 0.0,
         pool.bound_tps,
         pool.drain_tps,
-        pool.paces.overall.mean_s,
+        pool.token_times.overall.mean_s,
         targets,
     )
--- a/radishfield/decisions/precedence_test.py
+++ b/radishfield/decisions/precedence_test.py
@@ -1,11 +1,11 @@
-"""Which priority the engines are told."""
+"""The priority that is sent to the engines."""
 
 from radishfield.core import Priority
-from radishfield.decisions._precedence import HeldShares, engine_priority
+from radishfield.decisions._precedence import WorkspaceLoad, engine_priority
 from radishfield.decisions._queues import Lane
 
 
-def test_light_work_beside_heavy_work_is_told_higher_and_long_work_lower():
+def test_light_work_is_sent_with_higher_priority_and_long_work_with_lower():
     normal = Priority.NORMAL
     assert engine_priority(normal, Lane.SHORT, True) is Priority.HIGH
     assert engine_priority(normal, Lane.SHORT, False) is normal
@@ -15,7 +15,7 @@
 
 
 def test_two_workspaces_with_most_of_the_load_leave_the_others_light():
-    shares = HeldShares()
+    shares = WorkspaceLoad()
     for _ in range(45):
         shares.begin("heavy-1", 50.0)
         shares.begin("heavy-2", 50.0)
@@ -26,23 +26,23 @@
 
 
 def test_a_burst_of_a_new_workspace_is_light_only_at_its_start():
-    """A workspace that held nothing sends a hundred requests in one instant.
+    """A workspace without work sends a hundred requests at once.
 
-    Were waiting work not counted, all hundred would pass the others' tokens.
+    If waiting work were not counted, all hundred would overtake the others' tokens.
     """
-    shares = HeldShares()
+    shares = WorkspaceLoad()
     for index in range(10):
         for _ in range(5):
             shares.begin(f"w{index}", 50.0)
-    told = []
+    light = []
     for _ in range(100):
-        told.append(shares.is_light("new", 50.0))
+        light.append(shares.is_light("new", 50.0))
         shares.begin("new", 50.0)
-    assert told[0] and sum(told) <= 3
+    assert light[0] and sum(light) <= 3
 
 
 def test_idle_workspaces_take_no_memory():
-    shares = HeldShares()
+    shares = WorkspaceLoad()
     for index in range(1000):
         shares.begin(f"w{index}", 50.0)
         shares.end(f"w{index}", 50.0)
--- a/radishfield/decisions/queues_test.py
+++ b/radishfield/decisions/queues_test.py
@@ -1,4 +1,4 @@
-"""Order, fairness and bounded memory of what waits."""
+"""Order, fairness and bounded memory of the queue."""
 
 from radishfield.core import Priority
 from radishfield.decisions._queues import (
@@ -10,7 +10,7 @@
 )
 
 
-def enter(queue, work, cost=50.0, latest_start=90.0):
+def push_work(queue, work, cost=50.0, latest_start=90.0):
     queue.push(Entry(work, cost, latest_start, lane_for(cost)))
 
 
@@ -24,27 +24,27 @@
     return order
 
 
-def test_a_few_workspaces_with_most_of_the_load_do_not_delay_the_others(make_work):
+def test_workspaces_with_most_of_the_load_do_not_delay_the_others(make_work):
     """Ninety requests of one workspace wait, then two of another arrive.
 
-    The latecomer gets every second turn rather than the ninety-first.
+    The later workspace gets every second turn instead of the ninety-first.
     """
     queue = WorkQueue()
     for index in range(90):
-        enter(queue, make_work(f"heavy-{index}", workspace="heavy"))
+        push_work(queue, make_work(f"heavy-{index}", workspace="heavy"))
     for index in range(2):
-        enter(queue, make_work(f"light-{index}", workspace="light"))
+        push_work(queue, make_work(f"light-{index}", workspace="light"))
     order = [work.workspace for work in drain(queue)]
     assert [i for i, name in enumerate(order) if name == "light"][-1] <= 4
 
 
-def test_short_work_passes_long_work_and_long_work_still_moves(make_work):
-    """A burst of long work waits when short work arrives; both lanes go on."""
+def test_short_work_overtakes_long_work_without_starving_it(make_work):
+    """A burst of long work waits when short work arrives; both lanes progress."""
     queue = WorkQueue()
     for index in range(10):
-        enter(queue, make_work(f"long-{index}"), cost=1000.0)
+        push_work(queue, make_work(f"long-{index}"), cost=1000.0)
     for index in range(200):
-        enter(queue, make_work(f"short-{index}"), cost=50.0)
+        push_work(queue, make_work(f"short-{index}"), cost=50.0)
     order = [work.request_id for work in drain(queue)]
     last_short = max(i for i, name in enumerate(order) if name.startswith("short"))
     assert last_short <= 200 + 4
@@ -53,16 +53,16 @@
 
 def test_higher_priority_goes_first_and_earlier_deadline_within_a_workspace(make_work):
     queue = WorkQueue()
-    enter(queue, make_work("late", deadline=80.0))
-    enter(queue, make_work("soon", deadline=40.0))
-    enter(queue, make_work("urgent", priority=Priority.URGENT))
+    push_work(queue, make_work("late", deadline=80.0))
+    push_work(queue, make_work("soon", deadline=40.0))
+    push_work(queue, make_work("urgent", priority=Priority.URGENT))
     assert [work.request_id for work in drain(queue)] == ["urgent", "soon", "late"]
 
 
-def test_an_entry_is_withdrawn_or_expired_or_dispatched_but_never_twice(make_work):
+def test_entry_leaves_once_by_withdrawal_expiry_or_dispatch(make_work):
     queue = WorkQueue()
     for name in ("one", "two", "three"):
-        enter(queue, make_work(name), latest_start=10.0 if name == "two" else 50.0)
+        push_work(queue, make_work(name), latest_start=10.0 if name == "two" else 50.0)
     assert queue.withdraw("one") is not None
     assert queue.withdraw("one") is None
     assert [entry.work.request_id for entry in queue.expire(10.0)] == ["two"]
@@ -72,21 +72,21 @@
     assert queue.backlog() == 0 and queue.next_expiry() is None
 
 
-def test_new_work_waits_for_its_fair_part_of_the_backlog_only(make_work):
+def test_new_work_waits_only_for_its_fair_share_of_the_backlog(make_work):
     queue = WorkQueue()
     for index in range(100):
-        enter(queue, make_work(f"heavy-{index}", workspace="heavy"))
+        push_work(queue, make_work(f"heavy-{index}", workspace="heavy"))
     heavy, light = make_work("x", workspace="heavy"), make_work("y", workspace="light")
     assert queue.ahead_of(light, 50.0, Lane.SHORT) <= 100
     assert queue.ahead_of(heavy, 50.0, Lane.SHORT) >= 5000
-    enter(queue, light)
+    push_work(queue, light)
     assert queue.over_share(heavy) and not queue.over_share(light)
 
 
-def test_memory_does_not_grow_with_workspaces_that_fell_idle(make_work):
+def test_memory_does_not_grow_with_idle_workspaces(make_work):
     queue = WorkQueue()
     for index in range(3 * MAX_IDLE_WORKSPACES):
-        enter(queue, make_work(f"r{index}", workspace=f"w{index}"))
+        push_work(queue, make_work(f"r{index}", workspace=f"w{index}"))
     assert len(drain(queue)) == 3 * MAX_IDLE_WORKSPACES
     lane = queue._queues[Priority.NORMAL][Lane.SHORT]
     assert len(lane._tag_by_workspace) <= MAX_IDLE_WORKSPACES + 1
--- a/radishfield/decisions/retries_test.py
+++ b/radishfield/decisions/retries_test.py
@@ -1,4 +1,4 @@
-"""Retries, ejection and recovery: what follows a failure."""
+"""Retries, ejection and recovery after a failure."""
 
 import pytest
 
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("kind", FailureKind)
-def test_work_that_may_not_repeat_is_never_sent_again_once_started(make_work, kind):
+def test_non_idempotent_work_is_not_retried_once_started(make_work, kind):
     work = make_work("r", idempotent=False)
     problem = forbids(work, failure(kind), 1, True, 1.0)
     assert problem.outcome is Outcome.UNKNOWN
@@ -39,14 +39,14 @@
     )
 
 
-def test_not_run_is_said_only_if_no_attempt_ever_started():
+def test_outcome_is_not_run_only_if_no_attempt_ever_started():
     code = ResultCode.CONNECT_FAILED
     assert end_fault(failure(), code, True).outcome is Outcome.UNKNOWN
     assert end_fault(failure(), code, False).outcome is Outcome.NOT_RUN
 
 
-def test_repeats_stay_a_few_in_a_hundred():
-    """Every one of a thousand requests fails and asks for a repeat."""
+def test_retries_stay_a_few_per_hundred_requests():
+    """Every one of a thousand requests fails and requests a retry."""
     budget = RetryBudget(HOST_ALLOWANCE)
     allowed = 0
     for index in range(1000):
@@ -55,17 +55,17 @@
     assert allowed <= 0.05 * 1000 + HOST_ALLOWANCE.slack + 1
 
 
-def test_a_cut_stream_is_recovery_and_a_refusal_is_a_repeat():
+def test_interrupted_stream_is_recovered_and_refusal_is_retried():
     assert is_recovery(failure(FailureKind.BROKEN))
     assert not is_recovery(failure(FailureKind.REFUSED, started=False))
     assert not is_recovery(failure(FailureKind.ERROR))
 
 
 def test_a_mass_failure_does_not_start_all_rebuilds_at_once():
-    """A zone dies; 200 streams of one host need their cache in one instant.
+    """A zone dies, and 200 streams of one host need their cache at the same time.
 
-    The first few go on at once, the others one after the other at the pace of
-    the part that rebuilds may take, none beyond half of its time left.
+    The first few resume at once.  The others follow one by one at the rate of the
+    share that rebuilds may take, and none waits beyond half of its time left.
     """
     pacer = RebuildPacer()
     waits = [pacer.reserve(20.0, 100.0, 60.0, 0.0) for _ in range(200)]
@@ -75,13 +75,13 @@
     assert pacer.reserve(20.0, 100.0, 60.0, 200.0) == 0
 
 
-def test_the_way_that_is_sooner_is_taken():
+def test_faster_resumption_is_chosen():
     assert choose_resumption(5000, 300, 0.05, True).by_import
     assert not choose_resumption(5000, 300, 0.05, False).by_import
     assert not choose_resumption(1, 1, 0.05, True).by_import
 
 
-def test_a_failing_target_is_out_for_longer_each_time():
+def test_failing_target_is_ejected_for_longer_each_time():
     ejector = Ejector()
     assert not ejector.failed("t", FailureKind.CONNECT, 0.0)
     assert ejector.failed("t", FailureKind.CONNECT, 0.0)
@@ -91,7 +91,7 @@
     assert ejector.next_return() - first == 2 * first
 
 
-def test_a_whole_answer_restores_trust():
+def test_complete_answer_resets_the_failure_count():
     ejector = Ejector()
     for _ in range(5):
         ejector.failed("t", FailureKind.SILENT, 0.0)
@@ -99,15 +99,15 @@
     assert ejector.next_return() is None
 
 
-def test_a_refusal_says_nothing_about_a_targets_health():
+def test_refusals_do_not_eject_a_target():
     ejector = Ejector()
     assert not any(ejector.failed("t", FailureKind.REFUSED, 0.0) for _ in range(9))
 
 
-def test_the_slow_target_is_found_among_those_that_share_its_routes():
+def test_slow_target_is_found_among_targets_that_share_its_routes():
     """Answers through s are slow; a and b each share some of them.
 
-    Both also have fast answers, so only s is held to be slow.
+    Both also have fast answers, so only s is judged to be slow.
     """
     ejector = Ejector()
     for _ in range(10):
@@ -117,7 +117,7 @@
     assert ejector.eject_slow(["a", "b", "s"], 1.0) == ["s"]
 
 
-def test_a_fleet_that_is_slow_as_a_whole_keeps_its_targets():
+def test_uniformly_slow_fleet_keeps_its_targets():
     ejector = Ejector()
     names = [f"t{i}" for i in range(10)]
     for _ in range(10):
@@ -126,7 +126,7 @@
     assert ejector.eject_slow(names, 1.0) == []
 
 
-def test_only_a_part_is_ejected_for_slowness():
+def test_only_a_fraction_of_targets_is_ejected_for_slowness():
     ejector = Ejector()
     names = [f"t{i}" for i in range(10)]
     for _ in range(10):
--- a/radishfield/decisions/routes_test.py
+++ b/radishfield/decisions/routes_test.py
@@ -1,4 +1,4 @@
-"""Chains of targets: cover, version, zone, links."""
+"""Chains of targets: layers covered, model versions, zones and links."""
 
 from radishfield.core import TargetKind, covers_model_once
 from radishfield.decisions._pool import Pool
@@ -43,7 +43,7 @@
     assert seen == {"1", "2"}
 
 
-def test_work_in_flight_follows_mixed_speeds(make_target):
+def test_work_in_flight_is_proportional_to_speed(make_target):
     fast = make_target("fast", 0, 10, speed_tps=300.0, slots=24)
     slow = make_target("slow", 0, 10, speed_tps=100.0)
     last = make_target("last", 10, 20, speed_tps=400.0, slots=32)
@@ -54,7 +54,7 @@
     assert 2.5 <= counts["fast"] / counts["slow"] <= 3.5
 
 
-def test_stays_in_its_zone_until_that_is_nearly_full(make_target, links):
+def test_chain_stays_in_its_zone_until_that_is_nearly_full(make_target, links):
     near = [make_target("a1", 0, 10), make_target("a2", 10, 20)]
     far = [make_target("b1", 0, 10, zone="b"), make_target("b2", 10, 20, zone="b")]
     pool = make_pool(near + far, links)
@@ -62,11 +62,11 @@
     while (claim := pool.pick(False)) is not None:
         pool.begin(claim)
         order.append(claim.loads[0].target.zone)
-    half = len(order) // 3
-    assert set(order[:half]) == {"a"} and "b" in order
+    third = len(order) // 3
+    assert set(order[:third]) == {"a"} and "b" in order
 
 
-def test_a_slow_link_carries_only_what_it_can(make_target, links):
+def test_work_over_a_slow_link_is_limited(make_target, links):
     targets = [
         make_target("a1", 0, 10, speed_tps=400.0),
         make_target("a2", 10, 20),
@@ -78,11 +78,11 @@
     assert 0 < pool.loads_by_id["c2"].own <= 6
 
 
-def test_a_dead_end_is_stepped_back_from(make_target):
+def test_search_backtracks_from_a_dead_end(make_target):
     """The entry host's own zone holds the first layers only, and has no link.
 
-    The walk takes the local target first, finds no way on, and has to come back
-    and start in the other zone instead.
+    The search takes the local target first, finds no next stage, and has to
+    backtrack and start in the other zone instead.
     """
     targets = [
         make_target("trap", 0, 10, zone="c", speed_tps=900.0),
@@ -93,7 +93,7 @@
     assert [load.target.id for load in claim.loads] == ["way", "rest"]
 
 
-def test_nothing_leads_to_a_leaving_target(make_target):
+def test_no_chain_uses_a_leaving_target(make_target):
     targets = [make_target("a", 0, 10), make_target("b", 10, 20, state="leaving")]
     pool = make_pool(targets)
     assert pool.pick(False) is None and not pool.covered()
--- a/radishfield/decisions/scheduler_test.py
+++ b/radishfield/decisions/scheduler_test.py
@@ -1,4 +1,4 @@
-"""The decisions together, as a dispatcher sees them."""
+"""The scheduler as a dispatcher uses it."""
 
 import random
 from dataclasses import replace
@@ -36,13 +36,13 @@
     return [stage.target_id for stage in dispatch.route.stages]
 
 
-def test_a_burst_is_admitted_up_to_what_can_finish_and_the_rest_is_told_when(
+def test_burst_is_admitted_up_to_capacity_and_the_rest_gets_a_retry_time(
     scheduler, make_work
 ):
-    """Five hundred requests arrive in one instant at two targets a stage.
+    """Five hundred requests arrive at once, with two targets for each stage.
 
-    Some start, some wait, and from some point on each is refused at once with
-    a time to come back; nothing is admitted that the forecast says ends late.
+    Some start, some wait, and from some point on each is refused at once with a
+    retry time.  No request is admitted whose forecast says that it ends late.
     """
     results = [
         scheduler.offer(make_work(f"r{i}", deadline=30.0), 0.0) for i in range(500)
@@ -58,46 +58,48 @@
     assert 0 < len(scheduler.take(0.0)) < len(results) - len(refused)
 
 
-def test_every_entry_ends_in_exactly_one_way(scheduler, make_work):
+def test_every_request_leaves_the_queue_in_exactly_one_way(scheduler, make_work):
     """Work is offered, withdrawn, started, ended and left to expire at random.
 
     Each request must be seen exactly once: refused, withdrawn, dispatched or
     expired, and nothing may remain held afterwards.
     """
-    chance = random.Random(11)
-    ends: dict[str, list[str]] = {}
+    rng = random.Random(11)
+    ends_by_request: dict[str, list[str]] = {}
     running: list[str] = []
     now = 0.0
     for index in range(2000):
-        now += chance.random() * 0.2
+        now += rng.random() * 0.2
         name = f"r{index}"
-        ends[name] = []
-        work = make_work(name, arrived=now, deadline=now + chance.uniform(5, 40))
+        ends_by_request[name] = []
+        work = make_work(name, arrived=now, deadline=now + rng.uniform(5, 40))
         if isinstance(scheduler.offer(work, now), Refused):
-            ends[name].append("refused")
-        victim = f"r{chance.randrange(index + 1)}"
+            ends_by_request[name].append("refused")
+        victim = f"r{rng.randrange(index + 1)}"
         if scheduler.withdraw(victim, now):
-            ends[victim].append("withdrawn")
+            ends_by_request[victim].append("withdrawn")
         for item in scheduler.take(now):
             name = item.work.request_id
-            ends[name].append("expired" if isinstance(item, Expired) else "started")
+            ends_by_request[name].append(
+                "expired" if isinstance(item, Expired) else "started"
+            )
             if isinstance(item, Dispatch):
                 running.append(name)
-        while len(running) > 30 or (running and chance.random() < 0.3):
+        while len(running) > 30 or (running and rng.random() < 0.3):
             scheduler.ended(running.pop(0), True, now)
     for name in running:
         scheduler.ended(name, True, now)
     for item in scheduler.take(now + 100):
-        ends[item.work.request_id].append("last")
-    assert {len(seen) for seen in ends.values()} == {1}
+        ends_by_request[item.work.request_id].append("last")
+    assert {len(seen) for seen in ends_by_request.values()} == {1}
     targets = scheduler.snapshot(now).pools[0].targets
     assert all(target.in_flight == 0 for target in targets)
 
 
-def test_plain_lookups_do_not_wait_behind_reviews(scheduler, make_target, make_work):
+def test_lookups_do_not_wait_behind_reviews(scheduler, make_target, make_work):
     """The model's queue is full of reviews when a lookup arrives.
 
-    It goes to its own service at once.
+    The lookup goes to its own service at once.
     """
     lookup = make_target("s", 0, 0, kind=TargetKind.SERVICE, model="lookup")
     fleet, links, zone, hosts = scheduler._fleet
@@ -109,7 +111,7 @@
     assert start(scheduler, work).target == lookup
 
 
-def test_a_dead_stage_is_replaced_and_those_behind_it_kept(scheduler, make_work):
+def test_dead_stage_is_replaced_and_later_stages_are_kept(scheduler, make_work):
     """The first stage dies in the middle of a token after seven committed ones.
 
     The next attempt keeps the second stage, which still holds its cache, and
@@ -126,12 +128,12 @@
     assert all(t.in_flight == 0 for t in scheduler.snapshot(2.0).pools[0].targets)
 
 
-def test_a_cut_stream_stays_with_its_model_version(make_target, make_work, links):
-    """A caller's begun answer is not cut while a new version is rolled out.
+def test_interrupted_stream_stays_with_its_model_version(make_target, make_work, links):
+    """A started answer is not truncated while a new version is rolled out.
 
     Targets of the new version are idle when one of the old version dies.  Only
-    the old version can go on with the tokens that the caller has, and a route
-    of it is left.
+    the old version can continue from the tokens that the caller has, and it
+    still has a route.
     """
     old = [make_target("o1", 0, 20), make_target("o2", 0, 20)]
     scheduler = Scheduler()
@@ -147,11 +149,11 @@
 def test_streams_of_an_old_version_are_resumed_at_its_only_target(
     make_target, make_work, links
 ):
-    """Callers' begun answers are not cut because a new version has come.
+    """Started answers are not truncated because a new version is available.
 
     The connections to the last target of the old version break at once, and it
-    is left out, since the new version can serve new requests.  These streams
-    can go on nowhere else.
+    is excluded, since the new version can serve new requests.  These streams
+    can continue nowhere else.
     """
     old, new = make_target("old", 0, 20), make_target("new", 0, 20, model_version="2")
     scheduler = Scheduler()
@@ -168,10 +170,10 @@
 
 
 def test_only_the_last_attempt_of_a_stream_waits_for_full_targets(scheduler, make_work):
-    """A caller's begun answer is neither delayed nor cut by a full target.
+    """A started answer is neither delayed nor truncated by a full target.
 
-    The target refuses it for a second; others are tried at once, and the last
-    attempt is made when there may be room again.
+    The target refuses it for a second.  Others are tried at once, and the last
+    attempt is made when there may be free capacity again.
     """
     dispatch = start(scheduler, make_work("r"))
     for attempt, after_s in ((2, 0.0), (3, 0.0), (4, 0.6)):
@@ -185,11 +187,11 @@
         assert dispatch.attempt == attempt
 
 
-def test_every_stream_that_its_target_forgot_is_resumed(scheduler, make_work):
-    """No caller's begun answer is cut for want of repeats.
+def test_every_stream_lost_by_its_target_is_resumed(scheduler, make_work):
+    """No started answer is truncated because the retry budget is spent.
 
-    A target has restarted, or given up what nobody listened to, so it refuses
-    to go on with more streams than repeats are left.
+    A target has restarted, or abandoned streams that nobody read, so it refuses
+    to continue more streams than the budget has retries left.
     """
     decisions = []
     for index in range(16):
@@ -202,7 +204,7 @@
     assert all(isinstance(decision, Retry) for decision in decisions)
 
 
-def silence(dispatch, committed=1):
+def silent_failure(dispatch, committed=1):
     work, head = dispatch.work, stage_ids(dispatch)[0]
     return Failure(work.request_id, head, FailureKind.SILENT, True, committed)
 
@@ -210,31 +212,31 @@
 def test_a_silent_attempt_is_replaced_only_at_another_target(
     make_target, make_work, links
 ):
-    """A caller's begun answer is not given up for a start at the same target.
+    """A started answer is not abandoned for a new start at the same target.
 
     Silence may be the host's own fault.  While the target is the only one, its
-    attempt goes on; once another can take its place, it may end.
+    attempt continues.  Once another target can replace it, it may end.
     """
     only, other = make_target("only", 0, 20), make_target("other", 0, 20)
     scheduler = Scheduler()
     scheduler.set_fleet([only], links, "a", 1, 0.0)
     dispatch = start(scheduler, make_work("r"))
-    assert not scheduler.may_replace(silence(dispatch), 0.0, 1.0)
+    assert not scheduler.may_replace(silent_failure(dispatch), 0.0, 1.0)
     scheduler.set_fleet([only, other], links, "a", 1, 2.0)
-    assert scheduler.may_replace(silence(dispatch), 2.0, 3.0)
-    assert isinstance(scheduler.failed(silence(dispatch), 3.0), Retry)
+    assert scheduler.may_replace(silent_failure(dispatch), 2.0, 3.0)
+    assert isinstance(scheduler.failed(silent_failure(dispatch), 3.0), Retry)
     scheduler.ended("r", True, 4.0)
     assert all(t.in_flight == 0 for t in scheduler.snapshot(4.0).pools[0].targets)
 
 
-def test_a_host_that_hears_nobody_ends_no_attempt_for_silence(
+def test_disconnected_host_ends_no_attempt_for_silence(
     make_target, make_work, make_report, links
 ):
-    """Callers' begun answers are not cut because their host was cut off.
+    """Started answers are not truncated because their host is disconnected.
 
-    Load reports came before, and none since the last wait began: the host is
-    out of reach itself, and a start elsewhere would meet the same silence.
-    Nor is any target left out for it.
+    Load reports came before, but none since the last wait began.  The host is
+    unreachable itself, and a start elsewhere would meet the same silence.  Nor
+    is any target excluded for it.
     """
     one, two = make_target("one", 0, 20), make_target("two", 0, 20)
     scheduler = Scheduler()
@@ -242,39 +244,39 @@
     dispatches = [start(scheduler, make_work(f"r{index}")) for index in range(12)]
     scheduler.observe_load(make_report(one, 1), 1.0)
     for dispatch in dispatches:
-        assert not scheduler.may_replace(silence(dispatch), 2.0, 4.0)
+        assert not scheduler.may_replace(silent_failure(dispatch), 2.0, 4.0)
     assert not any(t.ejected for t in scheduler.snapshot(4.0).pools[0].targets)
     scheduler.progressed(dispatches[1].work.request_id, 1, 5.0)
-    assert scheduler.may_replace(silence(dispatches[0]), 4.0, 6.0)
+    assert scheduler.may_replace(silent_failure(dispatches[0]), 4.0, 6.0)
 
 
-def test_a_silent_target_gets_no_new_work_though_its_attempts_go_on(
+def test_silent_target_gets_no_new_work_while_its_attempts_continue(
     scheduler, make_work
 ):
-    """Callers are not sent to a stopped target by those who still wait for it.
+    """No new request is sent to a stopped target while attempts still wait for it.
 
-    Its attempts may not run twice, so they go on; each counts once, however
-    often its connection falls silent.
+    Its attempts may not run twice, so they continue.  Each counts as one
+    failure, however often its connection is silent.
     """
     heads = {"a1": [], "a2": []}
     for index in range(12):
         dispatch = start(scheduler, make_work(f"r{index}", idempotent=False))
         heads[stage_ids(dispatch)[0]].append(dispatch)
     for _ in range(5):
-        assert not scheduler.may_replace(silence(heads["a1"][0]), 0.0, 1.0)
+        assert not scheduler.may_replace(silent_failure(heads["a1"][0]), 0.0, 1.0)
     assert "a1" in {
         stage_ids(start(scheduler, make_work(f"s{index}"), 1.0))[0]
         for index in range(4)
     }
     for dispatch in heads["a1"][1:4]:
-        assert not scheduler.may_replace(silence(dispatch), 0.0, 1.0)
+        assert not scheduler.may_replace(silent_failure(dispatch), 0.0, 1.0)
     assert "a1" not in {
         stage_ids(start(scheduler, make_work(f"t{index}"), 1.0))[0]
         for index in range(4)
     }
 
 
-def test_a_started_request_that_may_not_repeat_ends_unknown(scheduler, make_work):
+def test_started_non_idempotent_request_ends_with_unknown_outcome(scheduler, make_work):
     dispatch = start(scheduler, make_work("r", idempotent=False))
     failure = Failure("r", stage_ids(dispatch)[0], FailureKind.BROKEN, True, 0)
     decision = scheduler.failed(failure, 1.0)
@@ -282,12 +284,10 @@
     assert decision.fault.outcome is Outcome.UNKNOWN
 
 
-def test_a_request_that_never_ran_ends_so_with_a_time_to_come_back(
-    scheduler, make_work
-):
+def test_request_that_never_ran_ends_as_not_run_with_a_retry_time(scheduler, make_work):
     """No target accepts a connection until the attempts are used up.
 
-    The caller is told "not run", at once, and when to come back.
+    The caller gets the outcome "not run" at once, with a retry time.
     """
     dispatch = start(scheduler, make_work("r", idempotent=False))
     decision = None
@@ -299,11 +299,11 @@
     assert decision.fault.retry_after_s >= 2.0
 
 
-def test_work_that_can_no_longer_finish_leaves_at_once(scheduler, make_work):
-    """Reviews wait for a full fleet that ends nothing.
+def test_work_that_can_no_longer_finish_expires_at_once(scheduler, make_work):
+    """Reviews wait for a full fleet in which no work ends.
 
-    Each leaves the queue when its last moment to start has passed, not at its
-    deadline, and is told when to come back.
+    Each leaves the queue when its latest start has passed, not at its deadline,
+    and gets a retry time.
     """
     for index in range(60):
         scheduler.offer(make_work(f"r{index}", deadline=60.0), 0.0)
@@ -317,7 +317,7 @@
     assert scheduler.snapshot(60.0).pools[0].queued == 0
 
 
-def test_a_leaving_target_gets_nothing_more_and_no_target_is_its_own_refusal(
+def test_leaving_target_gets_no_work_and_the_last_leaves_no_target(
     scheduler, make_work
 ):
     scheduler.target_leaving("a1", 0.0)
@@ -329,10 +329,10 @@
     assert refused.reason == "no-target" and refused.fault.retry_after_s
 
 
-def test_a_target_that_fails_fast_is_not_refilled(scheduler, make_work):
+def test_target_that_fails_fast_is_ejected(scheduler, make_work):
     """Target a1 refuses connections, so it always looks idle.
 
-    After two failures it is left out, and two seconds later it is tried again.
+    After two failures it is excluded, and two seconds later it is tried again.
     """
     hit = []
     for index in range(40):
@@ -348,10 +348,10 @@
     assert not view["a1"].ejected
 
 
-def test_a_prefix_returns_to_its_target_until_that_is_loaded(scheduler, make_work):
-    """A popular prefix first keeps to the targets that hold it.
+def test_prefix_goes_to_its_holder_until_that_is_loaded(scheduler, make_work):
+    """Requests with a popular prefix go first to the targets that hold it.
 
-    Under a crowd it spreads, so that its holder does not become the bottleneck.
+    Under load they spread, so that the holder does not become the bottleneck.
     """
     scheduler.observe_cache(CacheEvent("a2", 1, "p", True), 0.0)
     assert stage_ids(start(scheduler, make_work("r0", prefix_key="p")))[0] == "a2"
@@ -363,9 +363,10 @@
 
 
 def test_the_length_of_answers_is_learned_from_positions(scheduler, make_work):
-    """Answers use a fifth of what callers allow for.
+    """Answers use a fifth of the tokens that callers allow.
 
-    Positions count from 0; after a hundred answers far more is let in at once.
+    Positions count from 0.  After a hundred answers, far more work is admitted
+    at once.
     """
 
     def admitted(prefix):
@@ -384,7 +385,7 @@
     assert admitted("after") > 1.5 * before
 
 
-def test_explains_what_was_decided(scheduler, make_work):
+def test_explain_lists_the_decisions_on_a_request(scheduler, make_work):
     start(scheduler, make_work("r"))
     scheduler.ended("r", True, 1.0)
     steps = [note.step for note in scheduler.explain("r")]
@@ -399,14 +400,14 @@
     assert sum(t.in_flight for t in scheduler.snapshot(1.0).pools[0].targets) == 2
 
 
-def test_a_target_that_says_it_leaves_stays_away_when_the_list_calls_it_live(
+def test_target_that_reports_leaving_gets_no_work_while_listed_as_live(
     make_target, make_work, make_report, links
 ):
-    """No caller's request is lost on a target that is about to stop.
+    """No request is lost on a target that is about to stop.
 
-    The target reports that it is leaving.  Then the lagging list changes for
-    another target and still calls this one live, with the same incarnation.  It
-    gets no new work until it comes back as another incarnation.
+    The target reports that it is leaving.  Then the delayed list changes for
+    another target and still shows this one as live, with the same incarnation.
+    It gets no new work until it comes back as another incarnation.
     """
     leaving, other = make_target("leaving", 0, 20), make_target("other", 0, 20)
     scheduler = Scheduler()
@@ -427,7 +428,7 @@
     """The caller is served, not refused with "no target".
 
     One of two targets refuses connections and is ejected.  Then the other is
-    drained.  What is left is the ejected one, and it may work again.
+    drained.  Only the ejected target remains, and it may work again.
     """
     down, other = make_target("down", 0, 20), make_target("other", 0, 20)
     scheduler = Scheduler()
