--- a/radishfield/routing/__init__.py
+++ b/radishfield/routing/__init__.py
@@ -1,6 +1,7 @@
-"""Routes, targets and paths as plain values, and what is decided on them.
+"""Routes, targets and paths as plain values, and the decisions made from them.
 
-Nothing here does I/O or reads a clock: time and chance are arguments.
+The package does no I/O and reads no clock: the time and the random generator are passed
+as arguments.
 """
 
 from radishfield.routing._admission_queue import AdmissionQueue, QueueEntry
--- a/radishfield/routing/_admission_queue.py
+++ b/radishfield/routing/_admission_queue.py
@@ -1,16 +1,16 @@
-"""Who goes next when all paths are full, and who is turned away at once.
-
-Load pattern: a burst, or the loss of targets, brings more streams than there is
-memory for, most of them from a few workspaces.  If all that wait try at each place
-that is freed, luck decides; by arrival alone the largest sender delays all others,
-and urgent work waits behind the rest.  Here the most urgent go first; among equals
-the workspace that holds the least; then who came first.  A few at the head try at
-the same time, so that one large request does not keep small ones from a place that
-it cannot use.
-
-Waiting is worth something only while the caller stays.  A request that by the pace
-of the last seconds would not get a place in time is told so at once, with the time
-after which its place in the line would have come.
+"""Queue of requests that wait while all paths are full, with early rejection.
+
+When a burst or unreachable targets bring more streams than fit in memory, most of them
+come from a few workspaces. If all waiting requests tried for each freed slot, admission
+would be random. In order of arrival, the largest sender would delay all others, and
+urgent work would wait behind the rest. So the most urgent requests go first, then those
+of the workspace with the fewest running requests, then the earliest. A few requests at
+the head try at the same time, so that a large request does not keep smaller ones from a
+slot that it cannot use.
+
+Waiting is useful only while the caller stays. A request that would not get a slot in
+time, at the rate of the last seconds, is rejected at once, with the time after which
+its turn in the queue would have come.
 """
 
 from collections import Counter, deque
@@ -19,63 +19,65 @@
 
 from radishfield.routing._types import LEAST_CALLER_PATIENCE_S
 
-PATIENCE_SHARE = 0.6
-"""Part of the callers' patience that is the longest wait: the first event of a stream
-that got a place takes some more of it."""
+MAX_WAIT_SHARE = 0.6
+"""Longest wait, as a share of the caller timeout: the first event of an admitted stream
+takes some more of that timeout."""
 
-HEAD = 4
-"""Requests at the head that may try: the largest tenth of requests is some four
-times as large as the usual one."""
+HEAD_SIZE = 4
+"""Requests at the head that may try for a slot: the largest tenth of requests is about
+four times as large as a typical one."""
 
-HOPE = 0.8
-"""Part of the patience that a forecast may take up.  Under lasting overload the line
-is as long as is allowed; at the whole patience those at its end are served just too
-late, all of them, and turned away after a wait in vain."""
+MAX_FORECAST_SHARE = 0.8
+"""Share of the maximum wait that a forecast may use. Under lasting overload the queue
+is as long as is allowed. If forecasts could use the full maximum wait, all requests at
+its end would be served just too late and be rejected after a useless wait."""
 
-FIRST_USUAL_STREAM_S = 3.0
-"""Length that streams are taken to have until some have ended."""
+INITIAL_STREAM_S = 3.0
+"""Assumed length of streams until some have ended."""
 
-SHORTEST_WINDOW_S, LONGEST_WINDOW_S = 1.0, 10.0
-"""Freed places are counted over a usual stream's length, which is learnt; over less
-than a second or more than ten they say nothing of now."""
+MIN_WINDOW_S, MAX_WINDOW_S = 1.0, 10.0
+"""Bounds of the window in which freed slots are counted. The window is the typical
+length of a stream, which is learned. Counts over less than one second or more than ten
+do not describe the current rate."""
 
-LENGTH_MEMORY = 0.95
-"""Weight of the past in the usual length of streams: the last twenty count."""
+LENGTH_DECAY = 0.95
+"""Weight of the past in the typical length of streams: about the last twenty streams
+count."""
 
-LEAST_FREED, LEAST_COUNTED_S = 4, 0.5
-"""Freed places, and time, below which there is no pace to forecast by."""
+MIN_FREED_SLOTS, MIN_COUNTED_S = 4, 0.5
+"""Freed slots, and time, below which there is no rate to forecast from."""
 
-SHORTEST_RETURN_S, LONGEST_RETURN_S = 0.5, 5.0
-"""A caller that returns sooner meets the same line; later than a third of what it
-has left, most callers do not wait."""
+MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S = 0.5, 5.0
+"""A caller that returns sooner finds the same queue. Most callers do not wait longer
+than a third of the time they have left."""
 
 
 class QueueEntry(msgspec.Struct, frozen=True):
-    """A request in line.
+    """A request in the queue.
 
     Attributes
     ----------
     number : int
-        Rises with each entry, so that earlier ones go first.
-    patience_s : float
-        Longest time that it may stand in line.
+        Increases with each entry, so that earlier ones go first.
+    max_wait_s : float
+        Longest time that it may wait in the queue.
     """
 
     number: int
     priority: int
     workspace: str
     since: float
-    patience_s: float
+    max_wait_s: float
 
 
 class AdmissionQueue(msgspec.Struct):
-    """The requests of one service that wait at this host."""
+    """Requests of one service that wait at this host."""
 
     _entries: dict[int, QueueEntry] = msgspec.field(default_factory=dict)
     _running: Counter[str] = msgspec.field(default_factory=Counter)
-    _freed: deque[float] = msgspec.field(default_factory=deque)
-    _numbers: int = 0
-    usual_stream_s: float = FIRST_USUAL_STREAM_S
+    _freed_at: deque[float] = msgspec.field(default_factory=deque)
+    _last_number: int = 0
+    usual_stream_s: float = INITIAL_STREAM_S
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -87,65 +89,67 @@
         now: float,
         caller_patience_s: float = LEAST_CALLER_PATIENCE_S,
     ) -> QueueEntry:
-        """Stand in line."""
-        self._numbers += 1
-        patience_s = PATIENCE_SHARE * caller_patience_s
-        entry = QueueEntry(self._numbers, priority, workspace, now, patience_s)
+        """Add a request to the queue."""
+        self._last_number += 1
+        max_wait_s = MAX_WAIT_SHARE * caller_patience_s
+        entry = QueueEntry(self._last_number, priority, workspace, now, max_wait_s)
         self._entries[entry.number] = entry
         return entry
 
     def leave(self, entry: QueueEntry) -> None:
-        """Step out of the line, with a place or without."""
+        """Remove a request from the queue, whether it got a slot or not."""
         self._entries.pop(entry.number, None)
 
     def started(self, workspace: str) -> None:
-        """Count a request that got a place."""
+        """Count a request that got a slot."""
         self._running[workspace] += 1
 
-    def ended(self, workspace: str, now: float, lasted_s: float | None = None) -> None:
-        """Count a place that was freed, and how long its stream had it."""
-        if lasted_s is not None:
-            before_s = self.usual_stream_s * LENGTH_MEMORY
-            self.usual_stream_s = before_s + lasted_s * (1 - LENGTH_MEMORY)
+    def ended(
+        self, workspace: str, now: float, duration_s: float | None = None
+    ) -> None:
+        """Count a freed slot, and learn how long its stream held it."""
+        if duration_s is not None:
+            before_s = self.usual_stream_s * LENGTH_DECAY
+            self.usual_stream_s = before_s + duration_s * (1 - LENGTH_DECAY)
         self._running[workspace] -= 1
         if self._running[workspace] <= 0:
             del self._running[workspace]
-        self._freed.append(now)
-        self._forget(now)
+        self._freed_at.append(now)
+        self._drop_old_freed(now)
 
     def may_try(self, entry: QueueEntry) -> bool:
-        """Return whether a request is near enough to the head to try."""
-        return self._ahead(entry) < HEAD
+        """Return whether a request is near enough to the head to try for a slot."""
+        return self._count_ahead(entry) < HEAD_SIZE
 
     def expected_wait_s(self, entry: QueueEntry, now: float) -> float:
-        """Return the time until a place comes, by the pace of the last seconds."""
-        self._forget(now)
-        if len(self._freed) < LEAST_FREED:
+        """Return the time until a slot is free, at the rate of the last seconds."""
+        self._drop_old_freed(now)
+        if len(self._freed_at) < MIN_FREED_SLOTS:
             return 0.0
-        counted_s = max(LEAST_COUNTED_S, now - self._freed[0])
-        return (self._ahead(entry) + 1) * counted_s / len(self._freed)
+        counted_s = max(MIN_COUNTED_S, now - self._freed_at[0])
+        return (self._count_ahead(entry) + 1) * counted_s / len(self._freed_at)
 
     def is_hopeless(self, entry: QueueEntry, now: float) -> bool:
-        """Return whether a request that just came would wait in vain."""
-        return self.expected_wait_s(entry, now) > entry.patience_s * HOPE
+        """Return whether a new request is expected not to get a slot in time."""
+        return self.expected_wait_s(entry, now) > entry.max_wait_s * MAX_FORECAST_SHARE
 
     def has_expired(self, entry: QueueEntry, now: float) -> bool:
-        """Return whether a request has waited for as long as it may."""
-        return now - entry.since >= entry.patience_s
+        """Return whether a request has reached its maximum wait."""
+        return now - entry.since >= entry.max_wait_s
 
     def return_after_s(self, entry: QueueEntry, now: float) -> float:
-        """Return when a caller that is turned away should come back."""
+        """Return the time after which a rejected caller should retry."""
         wait_s = self.expected_wait_s(entry, now)
-        return min(LONGEST_RETURN_S, max(SHORTEST_RETURN_S, wait_s))
+        return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s))
 
-    def _ahead(self, entry: QueueEntry) -> int:
+    def _count_ahead(self, entry: QueueEntry) -> int:
         own = self._rank(entry)
         return sum(self._rank(other) < own for other in self._entries.values())
 
     def _rank(self, entry: QueueEntry) -> tuple[int, int, int]:
         return (entry.priority, self._running[entry.workspace], entry.number)
 
-    def _forget(self, now: float) -> None:
-        window_s = min(LONGEST_WINDOW_S, max(SHORTEST_WINDOW_S, self.usual_stream_s))
-        while self._freed and self._freed[0] < now - window_s:
-            self._freed.popleft()
+    def _drop_old_freed(self, now: float) -> None:
+        window_s = min(MAX_WINDOW_S, max(MIN_WINDOW_S, self.usual_stream_s))
+        while self._freed_at and self._freed_at[0] < now - window_s:
+            self._freed_at.popleft()
--- a/radishfield/routing/_crossing_gate.py
+++ b/radishfield/routing/_crossing_gate.py
@@ -1,11 +1,11 @@
-"""Whether this host may use a link at the moment, while others choose at once.
-
-Load pattern: targets that many streams pass are lost at the same moment.  All hosts
-see the same link free, and choose it within the tenths of a second in which none has
-heard of the others yet: twenty prompts stand where there is room for three.  What the
-others will do is guessed by what this host does itself, since callers are spread over
-the hosts by chance; and each host takes a link with the chance that, with all of them,
-fills its room and no more.
+"""Limit on the use of a link by hosts that choose it at the same moment.
+
+When targets that many streams pass become unreachable at the same moment, all hosts see
+the same link free, and choose it within the tenths of a second before any of them has
+received a report from the others. Twenty prompts then wait where three fit. A host
+estimates what the others will do from what it does itself, since callers are spread
+over the hosts at random. Each host uses a link with the probability at which all hosts
+together fill its free capacity and no more.
 """
 
 import random
@@ -15,14 +15,14 @@
 from radishfield.routing._links import FULL_SHARE, WINDOW_S, Pair
 
 TELL_S = 0.75
-"""Time until most others know of a prompt that was sent: their next status, a sum,
-and its way on."""
+"""Time until most other hosts know of a prompt that was sent. It takes the next status,
+the zone total made from it, and the forwarding of that total."""
 
 
 class _Draw(msgspec.Struct, frozen=True):
-    """What was drawn for a link, and until when it holds."""
+    """Result of a draw for a link, and the time until which it is valid."""
 
-    until: float
+    valid_until: float
     is_open: bool
 
 
@@ -33,15 +33,15 @@
     return max(0.0, FULL_SHARE - share) * WINDOW_S * 1e3 / transfer_ms
 
 
-def draw(room: float, contenders: float, chance: random.Random) -> bool:
-    """Return whether one of many that want a link at once may use it."""
-    return contenders <= room or chance.random() < room / contenders
+def draw(room: float, contenders: float, rng: random.Random) -> bool:
+    """Return at random whether one of several contenders for a link may use it."""
+    return contenders <= room or rng.random() < room / contenders
 
 
 class CrossingGate(msgspec.Struct):
-    """One draw for each link, which holds until others know what came of it.
+    """One draw for each link, which is valid until others know its effect.
 
-    Drawn anew at each look of a waiting stream, every host would come through.
+    If each check of a waiting stream made a new draw, every host would get through.
     """
 
     _draw_by_pair: dict[Pair, _Draw] = msgspec.field(default_factory=dict)
@@ -52,17 +52,17 @@
         room: float,
         contenders: float,
         now: float,
-        chance: random.Random,
+        rng: random.Random,
     ) -> bool:
         """Return whether this host may use a link now."""
         if contenders <= room:
             return True
-        drawn = self._draw_by_pair.get(pair)
-        if drawn is None or now >= drawn.until:
-            drawn = _Draw(now + TELL_S, draw(room, contenders, chance))
-            self._draw_by_pair[pair] = drawn
-        return drawn.is_open
+        current = self._draw_by_pair.get(pair)
+        if current is None or now >= current.valid_until:
+            current = _Draw(now + TELL_S, draw(room, contenders, rng))
+            self._draw_by_pair[pair] = current
+        return current.is_open
 
     def used(self, pair: Pair, now: float) -> None:
-        """Note that this host has sent a prompt: its turn is over for the moment."""
+        """Record a prompt sent by this host, which closes its draw for ``TELL_S``."""
         self._draw_by_pair[pair] = _Draw(now + TELL_S, False)
--- a/radishfield/routing/_links.py
+++ b/radishfield/routing/_links.py
@@ -1,17 +1,18 @@
-"""How busy the links between zones are, and what a further crossing costs.
-
-Load pattern: a zone lacks some layers, so its requests cross to another zone and
-back.  A prompt holds the link for tens of milliseconds, and each token of every
-stream that crosses waits behind it.  At half of the link's rate that already doubles
-the time of a token; beyond, streams last longer, hold their memory longer, and the
-whole fleet fills up.  A crossing is therefore priced by the wait that it meets and
-makes.
-
-A link is a queue.  When many targets are lost at once every path crosses, and what is
-sent beyond the link's rate stands in it for as long as it takes, wanted or not: each
-stream waits behind prompts whose callers have left, is given up in its turn, and no
-stream is served for as long as prompts are sent.  So a link that is full, or has a
-backlog, is closed to further prompts, whatever other way there is.
+"""Usage of the links between zones, and the cost of a further crossing.
+
+When a zone lacks some layers, its requests cross to another zone and back. A prompt
+holds the link for tens of milliseconds, and each token of every stream that crosses
+waits behind it. At half of the link's rate this already doubles the time of a token.
+Beyond that, streams last longer, hold their memory longer, and the whole fleet fills
+up. A crossing is therefore priced by the wait that it meets and the wait that it
+causes.
+
+A link is a queue. When many targets become unreachable at once, every path crosses
+zones, and what is sent beyond the link's rate stays queued until it is through, still
+wanted or not. Each stream waits behind prompts whose callers have left and is abandoned
+in its turn, so no stream is served for as long as prompts are sent. So a link that is
+full or has a backlog is closed to further prompts, whether or not there is another
+path.
 """
 
 from collections import deque
@@ -22,15 +23,15 @@
 from radishfield.routing._zone_sums import ZoneSums
 
 WINDOW_S = 2.0
-"""Time over which crossings are averaged: some ten prompts of a usual host."""
+"""Time over which crossings are averaged: about ten prompts of a typical host."""
 
 FULL_SHARE = 0.7
-"""Share of a link's time from which on it is closed: the wait behind prompts is then
-over twice a prompt's transfer, for each token."""
+"""Share of a link's time from which it is closed: each token then waits behind prompts
+for more than twice the transfer time of one prompt."""
 
-LONGEST_BACKLOG_S = 0.1
-"""Backlog from which on a link is closed: a sixth of the time that callers want their
-first event in; some of it is told late."""
+MAX_BACKLOG_S = 0.1
+"""Backlog from which a link is closed: a sixth of the time in which callers want their
+first event. Some of the backlog is reported late."""
 
 Pair = tuple[str, str]
 
@@ -72,60 +73,60 @@
         return sum(at >= since and other == pair for at, other, _ in self._crossings)
 
     def told_own(self, now: float) -> None:
-        """Note what this host tells of itself now, to take it out of later sums."""
+        """Record what this host reports now, to subtract it from later totals."""
         self.sums.told_own(now, self.own_shares(now))
 
     def report_remote(
         self, host: str, share_by_pair: Mapping[Pair, float], zone: str = ""
     ) -> None:
-        """Take what another host says of its own prompts."""
+        """Store the shares that another host reports for its own prompts."""
         self._reported_by_host[host] = _Reported(zone, share_by_pair)
 
     def forget(self, host: str) -> None:
-        """Drop what a host told that has fallen silent."""
+        """Drop the report of a host that has fallen silent."""
         self._reported_by_host.pop(host, None)
 
     def sum_of(self, hosts: Iterable[str], now: float) -> dict[Pair, float]:
-        """Return the shares that this host and the hosts given take together."""
+        """Return the total shares of this host and the given hosts."""
         reports = [self._reported_by_host.get(host) for host in hosts]
-        told = [report.share_by_pair for report in reports if report is not None]
-        return _added_up([self.own_shares(now), *told])
+        reported = [report.share_by_pair for report in reports if report is not None]
+        return _sum_by_pair([self.own_shares(now), *reported])
 
     def shares(self, now: float, own_zone: str = "") -> dict[Pair, float]:
         """Return the share of each link's time that all hosts' prompts take.
 
-        Hosts beyond the own zone are heard one by one too seldom to be added up; a
-        zone that tells a sum is taken by its sum.
+        Single reports of hosts outside the own zone arrive too seldom to be added up. A
+        zone that sends a total is counted by its total.
         """
         sums = self.sums.fresh(now)
-        parts = [item.by_key for item in sums.values()]
-        parts += [
+        share_maps = [item.by_key for item in sums.values()]
+        share_maps += [
             report.share_by_pair
             for report in self._reported_by_host.values()
             if report.zone not in sums
         ]
-        total = _added_up([self.own_shares(now), *parts])
+        total = _sum_by_pair([self.own_shares(now), *share_maps])
         if own_zone in sums:
             for pair, share in self.sums.own_at(sums[own_zone].at).items():
                 total[pair] = max(0.0, total.get(pair, 0.0) - share)
         return total
 
     def advance(self, now: float, own_zone: str = "") -> None:
-        """Carry on what still stands in each link: what came less what it carries."""
-        before, self._advanced_at = self._advanced_at, now
-        if before is None:
+        """Update the backlog of each link: what was sent less what the link carried."""
+        last_at, self._advanced_at = self._advanced_at, now
+        if last_at is None:
             return
         shares = self.shares(now, own_zone)
         for pair in shares.keys() | self._backlog_s_by_pair.keys():
-            grown_s = (shares.get(pair, 0.0) - 1.0) * (now - before)
-            backlog_s = self._backlog_s_by_pair.get(pair, 0.0) + grown_s
+            growth_s = (shares.get(pair, 0.0) - 1.0) * (now - last_at)
+            backlog_s = self._backlog_s_by_pair.get(pair, 0.0) + growth_s
             if backlog_s > 0.0:
                 self._backlog_s_by_pair[pair] = backlog_s
             else:
                 self._backlog_s_by_pair.pop(pair, None)
 
     def backlog_s(self, pair: Pair) -> float:
-        """Return for how long a link is busy with what was given to it already."""
+        """Return for how long a link is busy with what was already sent."""
         return self._backlog_s_by_pair.get(pair, 0.0)
 
     def full(self, share_by_pair: Mapping[Pair, float]) -> set[Pair]:
@@ -134,24 +135,24 @@
         by_backlog = {
             pair
             for pair, backlog_s in self._backlog_s_by_pair.items()
-            if backlog_s >= LONGEST_BACKLOG_S
+            if backlog_s >= MAX_BACKLOG_S
         }
         return by_share | by_backlog
 
 
 def crossing_ms(share: float, transfer_ms: float, delay_ms: float) -> float:
-    """Return what a crossing of a link that is not full costs each token of a stream.
+    """Return what crossing a link that is not full costs each token of a stream.
 
-    Half of it is the wait behind the prompts that are on the link, the other half
-    what this stream's own prompt adds to the waits of the others.
+    Half of it is the wait behind the prompts on the link. The other half is the wait
+    that this stream's own prompt adds for the others.
     """
     busy = min(share, FULL_SHARE)
     return delay_ms + transfer_ms * (0.1 + busy / (1.0 - busy))
 
 
-def _added_up(parts: Iterable[Mapping[Pair, float]]) -> dict[Pair, float]:
+def _sum_by_pair(share_maps: Iterable[Mapping[Pair, float]]) -> dict[Pair, float]:
     total: dict[Pair, float] = {}
-    for share_by_pair in parts:
+    for share_by_pair in share_maps:
         for pair, share in share_by_pair.items():
             total[pair] = total.get(pair, 0.0) + share
     return total
--- a/radishfield/routing/_paces.py
+++ b/radishfield/routing/_paces.py
@@ -1,11 +1,12 @@
-"""Which targets are slower than their kind, found from the streams that pass them.
-
-Load pattern: a target turns slow and never fails.  Its health check is good, its
-streams go on, each token a little late, and of hundreds of hosts each sees a stream or
-two of them: callers wait all evening and nobody sees an error.  So a host compares the
-pauses of its streams with what their paths should take.  Where a stream is slower than
-its host's streams usually are, the targets of its path are asked for their pace, which
-names the slow one; the host tells it, and all hosts send there less, in proportion.
+"""Detection of targets that are slower than others of their kind.
+
+A target may become slow without failing. Its health check passes and its streams go on,
+each token a little late, and of hundreds of hosts each sees a stream or two of them.
+Callers then wait all evening without any error. So a host compares the pauses of its
+streams with what their paths should take. Where a stream is slower than is typical at
+its host, the targets of its path are queried for their slowdown factor, or pace, which
+identifies the slow one. The host reports it, and all hosts send less there, in
+proportion.
 """
 
 import math
@@ -14,97 +15,100 @@
 import msgspec
 
 SLOW_RATIO = 1.6
-"""Times the usual ratio of pause to path from which on a stream's targets are asked: a
-target of twice its time makes a path of four parts a quarter slower at the least, and
-mostly twice as slow, since the others wait for it."""
+"""Multiple of the typical ratio of pause to path time from which a stream's targets are
+queried. A target of twice its time makes a path of four stages a quarter slower at the
+least, and mostly twice as slow, since the others wait for it."""
 
-LEAST_STREAMS = 5
-"""Streams measured before a host knows what is usual."""
+MIN_STREAMS = 5
+"""Streams measured before a host knows the typical ratio."""
 
-RATIO_MEMORY = 0.95
-"""Weight of the past in the usual ratio: the last twenty streams count."""
+RATIO_DECAY = 0.95
+"""Weight of the past in the typical ratio: about the last twenty streams count."""
 
 NORMAL_PACE = 1.1
-"""Pace up to which a target counts as being like its kind."""
+"""Slowdown factor up to which a target counts as being like its kind."""
 
 LIFETIME_S = 5.0
-"""A pace that was not confirmed for this long is forgotten, so that a target which is
-well again gets its part of the work back."""
+"""A slowdown factor that was not confirmed for this long is dropped, so that a target
+that has recovered gets its part of the work back."""
 
-ASK_AGAIN_S = 2.0
-"""Age from which on the pace of a slow target is asked again."""
+QUERY_AGAIN_S = 2.0
+"""Age from which the slowdown factor of a slow target is queried again."""
 
 
-class _Known(msgspec.Struct, frozen=True):
-    pace: float
+class _Measurement(msgspec.Struct, frozen=True):
+    slowdown: float
     at: float
 
 
 class Paces(msgspec.Struct):
-    """What is known of the targets' pace, first-hand or told."""
+    """Slowdown factors of targets, queried by this host or reported by others."""
 
-    _known_by_id: dict[str, _Known] = msgspec.field(default_factory=dict)
-    _usual_ratio: float = 0.0
-    _measured: int = 0
+    _measurement_by_id: dict[str, _Measurement] = msgspec.field(default_factory=dict)
+    _typical_ratio: float = 0.0
+    _measured_streams: int = 0
 
     def learn(self, pause_ms: float, path_ms: float) -> None:
-        """Learn from a stream that goes its usual way."""
+        """Update the typical ratio with a stream that runs normally."""
         ratio = pause_ms / path_ms
-        if not self._measured:
-            self._usual_ratio = ratio
-        self._measured += 1
-        weight = 1.0 - RATIO_MEMORY
-        self._usual_ratio += weight * (ratio - self._usual_ratio)
+        if not self._measured_streams:
+            self._typical_ratio = ratio
+        self._measured_streams += 1
+        weight = 1.0 - RATIO_DECAY
+        self._typical_ratio += weight * (ratio - self._typical_ratio)
 
     def is_slow(self, pause_ms: float, path_ms: float) -> bool:
         """Return whether a stream is slower than its path explains."""
-        if self._measured < LEAST_STREAMS:
+        if self._measured_streams < MIN_STREAMS:
             return False
-        return pause_ms / path_ms >= SLOW_RATIO * self._usual_ratio
+        return pause_ms / path_ms >= SLOW_RATIO * self._typical_ratio
 
-    def note(self, target_id: str, pace: float, now: float) -> bool:
-        """Take a target's pace as of ``now``; return whether it turned slow or well."""
-        before = self._known_by_id.get(target_id)
+    def note(self, target_id: str, slowdown: float, now: float) -> bool:
+        """Record a target's slowdown factor as of ``now``.
+
+        Return whether the target became slow or recovered.
+        """
+        before = self._measurement_by_id.get(target_id)
         if before is not None and before.at > now:
             return False
-        was_slow = before is not None and before.pace > NORMAL_PACE
-        if not was_slow and pace <= NORMAL_PACE:
+        was_slow = before is not None and before.slowdown > NORMAL_PACE
+        if not was_slow and slowdown <= NORMAL_PACE:
             return False
-        self._known_by_id[target_id] = _Known(pace, now)
-        return was_slow != (pace > NORMAL_PACE)
+        self._measurement_by_id[target_id] = _Measurement(slowdown, now)
+        return was_slow != (slowdown > NORMAL_PACE)
 
     def expire(self, now: float) -> None:
-        """Forget what was not confirmed for too long."""
-        self._known_by_id = {
+        """Drop factors that were not confirmed for too long."""
+        self._measurement_by_id = {
             target_id: known
-            for target_id, known in self._known_by_id.items()
+            for target_id, known in self._measurement_by_id.items()
             if now - known.at < LIFETIME_S
         }
 
     def by_id(self) -> Mapping[str, float]:
-        """Return the pace of each target that is known to be slow."""
+        """Return the slowdown factor of each target that is known to be slow."""
         return {
-            target_id: known.pace
-            for target_id, known in self._known_by_id.items()
-            if known.pace > NORMAL_PACE
+            target_id: known.slowdown
+            for target_id, known in self._measurement_by_id.items()
+            if known.slowdown > NORMAL_PACE
         }
 
     def known(self, now: float) -> Iterable[tuple[str, float, float]]:
-        """Return target, pace and age of what others should know."""
+        """Return target, slowdown factor and age of each record, for other hosts."""
         return [
-            (target_id, known.pace, now - known.at)
-            for target_id, known in self._known_by_id.items()
+            (target_id, known.slowdown, now - known.at)
+            for target_id, known in self._measurement_by_id.items()
         ]
 
     def age_s(self, target_id: str, now: float) -> float:
-        """Return how old what is known of a target is; infinite where nothing is."""
-        known = self._known_by_id.get(target_id)
+        """Return the age of what is known of a target; infinite if nothing is."""
+        known = self._measurement_by_id.get(target_id)
         return math.inf if known is None else now - known.at
 
     def to_ask(self, now: float) -> list[str]:
-        """Return the slow targets whose pace is to be confirmed."""
+        """Return the slow targets whose slowdown factor is to be confirmed."""
         return [
             target_id
-            for target_id, known in self._known_by_id.items()
-            if known.pace > NORMAL_PACE and now - known.at >= ASK_AGAIN_S
+            for target_id, known in self._measurement_by_id.items()
+            if known.slowdown > NORMAL_PACE and now - known.at >= QUERY_AGAIN_S
         ]
--- a/radishfield/routing/_paths.py
+++ b/radishfield/routing/_paths.py
@@ -1,15 +1,15 @@
-"""The path of a request through targets that hold parts of the model.
+"""Search for a request's path through targets that hold parts of the model.
 
-Load pattern: cards of very unequal speed share one model, each with its own load,
-and any of them may die.  A fixed chain per zone loses all of a zone with one dead
-part, and feeds a slow part as much as a fast one.  Here each request takes the
-cheapest way over whatever covers the layers: a part may be any piece of what a
+Accelerators of very unequal speed share one model, each with its own load, and any of
+them may crash. With a fixed chain per zone, one dead stage would take away the whole
+zone, and a slow stage would get as much work as a fast one. Here each request takes the
+cheapest path over any targets that cover the layers. A stage may be any piece of what a
 target holds, so every set of live targets that covers the model gives a path.
 
-The cost of a part is the time that one token spends there: the fixed part of a
-step, and what each request adds to it, times the share of layers.  A target whose
-memory is nearly full costs more, since requests that do not fit are thrown out in
-the middle of their stream; one that is full is left out.
+The cost of a stage is the time that one token spends there: the fixed part of a step,
+and what each request adds to it, times the share of layers. A target whose memory is
+nearly full costs more, since requests that do not fit are evicted in the middle of
+their stream. A target that is full is excluded.
 """
 
 import math
@@ -29,85 +29,86 @@
 )
 
 HOP_MS = 0.05
-"""Cost of any further part, so that ties go to the shorter path."""
+"""Cost of any further stage, so that ties go to the shorter path."""
 
-CROWDED = 0.75
-"""Share of a target's memory from which on it costs more than its time."""
+HIGH_FILL = 0.75
+"""Share of a target's memory from which the target costs more than its time."""
 
-FULL = 0.97
-"""Share of a target's memory over which nothing more is sent.  Reservations count
-a request's expected length, and some grow longer."""
+MAX_FILL = 0.97
+"""Share of a target's memory above which nothing more is sent. Reservations count a
+request's expected length, and some requests grow longer."""
 
-CROWDED_STEPS = 20.0
-"""Steps of the model that a full target costs more: several times a part's usual time
-even on the slowest cards, so that a path that avoids it is taken wherever there is
-one."""
+FULL_PENALTY_STEPS = 20.0
+"""Additional cost of a full target, in steps of the model: several times a stage's
+typical time even on the slowest accelerators, so that a path that avoids it is taken
+wherever there is one."""
 
 
 UNSEEN_S = 0.4
-"""Mean age of what a host knows of the others' work: half of the time until a status
-or a sum comes, and its way."""
+"""Mean age of what a host knows of the others' work: half of the time until a status or
+a zone total arrives, and its transfer."""
 
-MOST_SPREAD = 0.6
-"""Largest deviation of a target's cost, in natural logarithms.  Beyond it slow cards
-are taken for fast ones, and tokens take a tenth longer."""
+MAX_SPREAD = 0.6
+"""Largest deviation of a target's cost, in natural logarithms. Beyond it slow
+accelerators are taken for fast ones, and tokens take a tenth longer."""
 
 HALF_SPREAD_STARTS = 40.0
-"""Unseen starts at which half of that is used: as many as the parts of a usual path
-hold, so that even all of them on one path are no more than it carries."""
+"""Unreported starts at which half of ``MAX_SPREAD`` is used: as many as the stages of a
+typical path hold, so that the path can carry them even if all of them choose it."""
 
 
 BLIND_SPREAD = 1.5
-"""The same while nothing is known of others.  Load pattern: all hosts have just been
-started again, and a second's callers come back at once.  Each host fills the fastest
-cards, and half of the callers are refused by them four times over.  So wide, paths are
-taken nearly by chance, and all but a few find room at once."""
+"""Deviation of a target's cost while nothing is known of other hosts. When all hosts
+have just restarted, the callers of a second come back at once. With less deviation,
+each host fills the fastest accelerators, and half of the callers are refused by them
+four times over. With this one, paths are chosen nearly at random, and all but a few
+requests find free capacity at once."""
 
 
 def choice_spread(unseen: float) -> float:
-    """Return by how much costs are varied by chance from request to request.
+    """Return the deviation by which costs vary at random from request to request.
 
-    Load pattern: two hundred hosts start as many streams in a second, and all of them
-    know the same of the targets, half a second late.  Each would take the one path
-    that was cheapest then: a hundred streams meet where there is room for forty, are
-    refused or thrown out, and half a second later all of them meet on the next one.
-    With costs varied by chance they take the cheap paths in proportion.  A few hosts
-    that see each other's work keep to the cheapest.
+    When two hundred hosts start as many streams in a second, all of them know the same
+    of the targets, half a second late. Each would take the one path that was cheapest
+    then: a hundred streams meet where forty fit, are refused or evicted, and half a
+    second later all of them meet on the next path. With random costs they take the
+    cheap paths in proportion. A few hosts that see each other's work keep to the
+    cheapest.
 
     Parameters
     ----------
     unseen : float
-        Streams that other hosts have sent, or send now, and have not told.
+        Streams that other hosts have sent, or send now, and have not reported.
     """
-    return MOST_SPREAD * unseen / (unseen + HALF_SPREAD_STARTS)
+    return MAX_SPREAD * unseen / (unseen + HALF_SPREAD_STARTS)
 
 
 class Demand(msgspec.Struct, frozen=True):
-    """What a request will take: prompt and expected answer, in tokens."""
+    """Tokens that a request will take: its prompt and its expected answer."""
 
     prompt: int
     answer: int
 
     @property
     def tokens(self) -> int:
-        """Return the tokens that the request fills at its end."""
+        """Return the tokens that the request occupies at its end."""
         return self.prompt + self.answer
 
 
 def capacity_token_layers(engine: EngineSpec, record: TargetRecord) -> float:
-    """Return the token-layers that fit beside the layers a target holds."""
-    card = engine.accelerator_by_name.get(record.accelerator)
-    if card is None or record.span is None or not engine.cache_bytes_per_token:
+    """Return the token-layers that fit beside the layers that a target holds."""
+    accelerator = engine.accelerator_by_name.get(record.accelerator)
+    if accelerator is None or record.span is None or not engine.cache_bytes_per_token:
         return float("inf")
-    free_mb = card.memory_mb - len(record.span) * engine.layer_mb
+    free_mb = accelerator.memory_mb - len(record.span) * engine.layer_mb
     return free_mb * 1e6 / (engine.cache_bytes_per_token / engine.layers)
 
 
 def token_ms(engine: EngineSpec, record: TargetRecord, held: TargetLoad) -> float:
-    """Return the time of a step over all layers, with the work that is held."""
-    card = engine.accelerator_by_name.get(record.accelerator)
-    step_factor = card.step_factor if card else 1.0
-    read_factor = card.read_factor if card else 1.0
+    """Return the time of a step over all layers with the given load."""
+    accelerator = engine.accelerator_by_name.get(record.accelerator)
+    step_factor = accelerator.step_factor if accelerator else 1.0
+    read_factor = accelerator.read_factor if accelerator else 1.0
     layers = len(record.span) if record.span else engine.layers
     context_k = held.token_layers / max(1, layers) / 1000
     fixed = engine.step_ms + context_k * engine.step_ms_per_1k
@@ -122,7 +123,7 @@
     load: LoadTable,
     path: Path,
 ) -> float:
-    """Return the time that a token should take over a path, by what it holds."""
+    """Return the time that a token should take over a path under the current load."""
     total = 0.0
     for part in path:
         record = records.get(part.target_id)
@@ -133,26 +134,26 @@
     return total
 
 
-class _Way(msgspec.Struct, frozen=True):
+class _CandidatePath(msgspec.Struct, frozen=True):
     cost: float
     parts: tuple[tuple[TargetRecord, int, int], ...]
 
 
 class PathFinder:
-    """Finds paths over one list of targets; cheap enough to make for a request.
+    """Finds paths over one list of targets; cheap enough to create for each request.
 
     Parameters
     ----------
     share_by_pair : mapping, optional
-        Share of each link's time that is taken.
+        Share of each link's time that is in use.
     closed : collection of pairs
         Links that no prompt may cross now.
     spread : float
-        Deviation by which costs are varied, see `choice_spread`.
+        Deviation by which costs vary at random, see `choice_spread`.
     """
 
     __slots__ = (
-        "_chance",
+        "_rng",
         "_closed",
         "_engine",
         "_first_ids",
@@ -171,10 +172,10 @@
         share_by_pair: Mapping[Pair, float] | None = None,
         closed: Collection[Pair] = (),
         spread: float = 0.0,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
     ):
         self._spread = spread
-        self._chance = chance or random.Random()
+        self._rng = rng or random.Random()
         self._closed = closed
         self._engine = engine
         self._load = load
@@ -189,29 +190,29 @@
         demand: Demand,
         first: PathPart | None = None,
         pace_by_id: Mapping[str, float] | None = None,
-        own_by_id: Collection[str] = (),
+        holding_ids: Collection[str] = (),
         first_ids: Collection[str] | None = None,
     ) -> Path | None:
-        """Return the cheapest path, or None if no targets with room cover it.
+        """Return the cheapest path, or None if no targets with free capacity cover it.
 
-        All parts hold the same version of the weights, the newest that has a path:
-        a token over two versions would come from no model at all.
+        All stages hold the same version of the weights, the newest that has a path: a
+        token computed over two versions would come from no model at all.
 
         Parameters
         ----------
         first : PathPart, optional
-            The part with which the path has to begin, as it is.
+            The stage with which the path has to begin, unchanged.
         first_ids : collection of str, optional
             The only targets that may be the path's first.
-        own_by_id : collection of str
-            Targets that hold the request already, so that they need no more room.
+        holding_ids : collection of str
+            Targets that hold the request already, so that they need no more capacity.
         """
         self._first_ids = first_ids
         versions = {record.weights_version for record in records if record.span}
         for version in sorted(versions, reverse=True):
             same = [record for record in records if record.weights_version == version]
-            path = self._find_among(same, demand, first, pace_by_id, own_by_id)
-            # Targets do not notice a gap or an overlap: their answer would be
+            path = self._find_among(same, demand, first, pace_by_id, holding_ids)
+            # Targets do not detect a gap or an overlap and would answer with
             # tokens of no model, so each path is checked before it is used.
             if path is not None and covers_once(path, self._engine.layers):
                 return path
@@ -223,68 +224,74 @@
         demand: Demand,
         first: PathPart | None,
         pace_by_id: Mapping[str, float] | None,
-        own_by_id: Collection[str],
+        holding_ids: Collection[str],
     ) -> Path | None:
         """Return the cheapest path over targets with the same weights."""
-        paces = pace_by_id or {}
-        part_ms_by_id: dict[str, float] = {}
-        roomy: list[TargetRecord] = []
+        slowdown_factors = pace_by_id or {}
+        cost_by_id: dict[str, float] = {}
+        with_capacity: list[TargetRecord] = []
         for record in records:
-            cost = self._layer_ms(record, demand, record.id in own_by_id)
+            cost = self._layer_ms(record, demand, record.id in holding_ids)
             if cost is not None:
-                cost *= paces.get(record.id, 1.0) * self._varied()
-                part_ms_by_id[record.id] = cost
-                roomy.append(record)
+                cost *= slowdown_factors.get(record.id, 1.0) * self._random_factor()
+                cost_by_id[record.id] = cost
+                with_capacity.append(record)
         if first is None:
-            way = self._cheapest(roomy, part_ms_by_id, 0, self._zone)
-            return None if way is None else _as_path(way)
-        others = [record for record in roomy if record.id != first.target_id]
+            candidate = self._find_cheapest(with_capacity, cost_by_id, 0, self._zone)
+            return None if candidate is None else _as_path(candidate)
+        others = [record for record in with_capacity if record.id != first.target_id]
         zone = next((r.zone for r in records if r.id == first.target_id), self._zone)
-        way = self._cheapest(others, part_ms_by_id, first.span.end, zone)
-        return None if way is None else (first, *_as_path(way))
+        candidate = self._find_cheapest(others, cost_by_id, first.span.end, zone)
+        return None if candidate is None else (first, *_as_path(candidate))
 
-    def _varied(self) -> float:
+    def _random_factor(self) -> float:
         if not self._spread:
             return 1.0
-        return math.exp(self._chance.gauss(0.0, self._spread))
+        return math.exp(self._rng.gauss(0.0, self._spread))
 
     def _layer_ms(
         self, record: TargetRecord, demand: Demand, holds_it: bool
     ) -> float | None:
-        """Return the cost of a layer at a target; None if it has no room."""
+        """Return the cost of a layer at a target; None if it has no free capacity."""
         if record.span is None:
             return None
         held = self._load.held(record.id)
         capacity = capacity_token_layers(self._engine, record)
-        need = 0 if holds_it else demand.tokens * len(record.span)
-        fill = (held.token_layers + need) / capacity if capacity > 0 else 2.0
-        if fill > FULL and not holds_it:
+        needed = 0 if holds_it else demand.tokens * len(record.span)
+        fill = (held.token_layers + needed) / capacity if capacity > 0 else 2.0
+        if fill > MAX_FILL and not holds_it:
             return None
         cost = token_ms(self._engine, record, held) / self._engine.layers
-        if fill > CROWDED:
-            crowd = (fill - CROWDED) / (FULL - CROWDED)
-            crowded_ms = CROWDED_STEPS * self._engine.step_ms
-            cost += crowd * crowded_ms / len(record.span)
+        if fill > HIGH_FILL:
+            excess = (fill - HIGH_FILL) / (MAX_FILL - HIGH_FILL)
+            penalty_ms = FULL_PENALTY_STEPS * self._engine.step_ms
+            cost += excess * penalty_ms / len(record.span)
         return cost
 
-    def _cheapest(
+    def _find_cheapest(
         self,
         records: Sequence[TargetRecord],
         layer_ms_by_id: dict[str, float],
         begin: int,
         zone: str,
-    ) -> _Way | None:
-        """Walk the boundaries between layers from ``begin`` to the last."""
+    ) -> _CandidatePath | None:
+        """Return the cheapest path from layer ``begin`` on, boundary by boundary."""
         layers = self._engine.layers
-        cuts = {begin, layers}
+        boundaries = {begin, layers}
         for record in records:
-            cuts.update((record.span.first, record.span.end))
-        best: dict[tuple[int, str], _Way] = {(begin, zone): _Way(0.0, ())}
-        for start in sorted(cuts):
+            boundaries.update((record.span.first, record.span.end))
+        best: dict[tuple[int, str], _CandidatePath] = {
+            (begin, zone): _CandidatePath(0.0, ())
+        }
+        for start in sorted(boundaries):
             if start < begin:
                 continue
-            here = [(zone, way) for (at, zone), way in best.items() if at == start]
-            if start == layers or not here:
+            reached = [
+                (zone, candidate)
+                for (at, zone), candidate in best.items()
+                if at == start
+            ]
+            if start == layers or not reached:
                 continue
             for record in records:
                 span = record.span
@@ -292,44 +299,49 @@
                     continue
                 if start == 0 and not self._may_be_first(record):
                     continue
-                self._extend(best, here, start, record, cuts, layer_ms_by_id)
-        ends = [way for (at, _), way in best.items() if at == layers]
-        return min(ends, key=lambda way: way.cost, default=None)
+                self._extend_candidates(
+                    best, reached, start, record, boundaries, layer_ms_by_id
+                )
+        ends = [candidate for (at, _), candidate in best.items() if at == layers]
+        return min(ends, key=lambda candidate: candidate.cost, default=None)
 
-    def _extend(
+    def _extend_candidates(
         self,
-        best: dict[tuple[int, str], _Way],
-        here: list[tuple[str, _Way]],
+        best: dict[tuple[int, str], _CandidatePath],
+        reached: list[tuple[str, _CandidatePath]],
         start: int,
         record: TargetRecord,
-        cuts: set[int],
+        boundaries: set[int],
         layer_ms_by_id: dict[str, float],
     ) -> None:
-        entry_cost, way = min(
+        entry_cost, candidate = min(
             (
-                (way.cost + self._change_ms(zone, record.zone, start), way)
-                for zone, way in here
+                (
+                    candidate.cost + self._zone_change_ms(zone, record.zone, start),
+                    candidate,
+                )
+                for zone, candidate in reached
             ),
             key=lambda pair: pair[0],
         )
         if entry_cost == math.inf:
             return
-        for end in cuts:
+        for end in boundaries:
             if not start < end <= record.span.end:
                 continue
             cost = entry_cost + HOP_MS + (end - start) * layer_ms_by_id[record.id]
             known = best.get((end, record.zone))
             if known is None or cost < known.cost:
-                parts = (*way.parts, (record, start, end))
-                best[(end, record.zone)] = _Way(cost, parts)
+                parts = (*candidate.parts, (record, start, end))
+                best[(end, record.zone)] = _CandidatePath(cost, parts)
 
-    def _change_ms(self, zone: str, other: str, start: int) -> float:
-        """Return what it costs to enter a zone from another one."""
+    def _zone_change_ms(self, zone: str, other: str, start: int) -> float:
+        """Return the cost of entering a zone from another one."""
         if zone == other:
             return 0.0
         delay_ms = self._engine.delay_ms(zone, other)
         if start == 0:
-            # Only the request and its events cross, which no link notices.
+            # Only the request and its events cross, a negligible load for a link.
             return delay_ms
         pair = pair_of(zone, other)
         if pair in self._closed:
@@ -343,12 +355,12 @@
         return self._load.held(record.id).as_first < self._engine.slots
 
 
-def _as_path(way: _Way) -> Path:
-    """Return the parts; a target that stands twice runs all in between.
+def _as_path(candidate: _CandidatePath) -> Path:
+    """Return the stages; a target that occurs twice runs all layers in between.
 
     Targets refuse a path that names one of them twice.
     """
-    parts = list(way.parts)
+    parts = list(candidate.parts)
     last_index_by_id = {part[0].id: index for index, part in enumerate(parts)}
     merged: list[PathPart] = []
     index = 0
--- a/radishfield/routing/_silence.py
+++ b/radishfield/routing/_silence.py
@@ -1,11 +1,11 @@
-"""When a silent stream is looked into, and when it is given up.
-
-Load pattern: one target in the middle of a path dies, and every stream that passes
-it falls silent while its first target still answers.  Nothing is cut off for
-seconds, and callers leave after two.  So a stream that is silent for longer than its
-events usually take is asked about at its first target, which names the part that
-does not answer; the path is then changed around it.  Looked into sooner, every
-burst would cost calls; later, callers leave before the new path has read the prompt.
+"""Decisions on when a silent stream is queried, and when it is abandoned.
+
+When a target dies in the middle of a path, every stream that passes it falls silent
+while its first target still answers. No connection breaks for seconds, and callers
+leave after two. So for a stream that is silent for longer than its events typically
+take, the first target is queried. It names the stage that does not answer, and the path
+is then changed around that stage. With earlier queries, every burst would cost calls;
+with later ones, callers would leave before the new path has read the prompt.
 """
 
 from collections.abc import Iterable
@@ -13,36 +13,39 @@
 import msgspec
 
 PROBE_SHARE = 0.3
-"""Part of the longest pause that is still on time, or of the time to a first event,
-after which the targets of a silent stream are probed.  The rest of a pause of 0.2 s
-has room for a look, a probe, the order to change the path, one read of the prompt at
-the new part and one round of a token, some 0.12 s in all."""
+"""Share of the longest pause that is still on time, or of the time to a first event,
+after which the targets of a silent stream are probed. The rest of a pause of 0.2 s
+leaves time for a check, a probe, the order to change the path, one read of the prompt
+at the new stage and one round of a token, about 0.12 s in all."""
 
-USUAL_GAPS = 2.0
-"""Usual pauses of a stream before it counts as silent: a slow path is not dead."""
+TYPICAL_GAPS = 2.0
+"""Multiple of a stream's typical pause after which it counts as silent: a slow path is
+not dead."""
 
-PROOF_SHARE = 0.8
-"""Part of the silence within which an event of another stream shows that a target
-which both pass is alive, so that it need not be probed."""
+ALIVE_SHARE = 0.8
+"""Share of the silence within which an event of another stream shows that a target on
+both paths is alive, so that it need not be probed."""
 
-FIRST_ASK_SHARE = 0.6
-"""Part of the objective after which a stream without an event is asked about at its
-first target: some twice what 99 of 100 prompts take on a calm day, and early enough
-that another path still begins about in time."""
+FIRST_QUERY_SHARE = 0.6
+"""Share of the objective after which the first target of a stream without events is
+queried: about twice what 99 of 100 prompts take under normal load, and early enough
+that another path still starts about in time."""
 
-NEXT_ASK_GAPS = 1.5
-"""Longest pauses on time after which the same is done for the next event: some six
-times the usual pause, so that a slow moment asks nothing."""
+NEXT_QUERY_GAPS = 1.5
+"""Multiple of the longest pause on time after which the first target of a stream with
+events is queried: about six times the typical pause, so that a short slowdown causes no
+query."""
 
-LEAST_ASK_S = 0.1
-"""Shortest silence that is asked about: a report says nothing of the time before."""
+MIN_QUERY_S = 0.1
+"""Shortest silence that causes a query: reports do not cover a shorter one."""
 
-ASK_AGAIN_S = 0.05
-"""Time beyond a report's age before the next: asked sooner it repeats."""
+QUERY_AGAIN_S = 0.05
+"""Time beyond a report's age before the next query: an earlier one gets the same
+report."""
 
-GIVE_UP_SHARE = 0.65
-"""Part of the callers' patience after which, with no dead part found, the stream goes
-on elsewhere: another path needs about a quarter of it."""
+ABANDON_SHARE = 0.65
+"""Share of the caller timeout after which a stream for which no dead stage was found
+continues on another path, which needs about a quarter of that timeout."""
 
 
 class StreamSilence(msgspec.Struct, frozen=True):
@@ -55,13 +58,13 @@
     silent_s : float
         Seconds since its last event, or since it was sent.
     usual_gap_s : float
-        Its usual pause between events; 0 before the second one.
+        Its typical pause between events; 0 before the second one.
     allowed_s : float
         Longest pause, or longest time to its first event, that is on time.
     caller_patience_s : float
         Silence after which its caller leaves.
     report_lag_s : float
-        Age of what its first target says of it.
+        Age of its first target's report on it.
     """
 
     target_ids: tuple[str, ...]
@@ -73,69 +76,69 @@
     report_lag_s: float
 
     @property
-    def ask_after_s(self) -> float:
-        """Return the silence after which its first target is asked."""
-        times = NEXT_ASK_GAPS if self.has_events else FIRST_ASK_SHARE
-        return max(LEAST_ASK_S, times * self.allowed_s)
+    def query_after_s(self) -> float:
+        """Return the silence after which its first target is queried."""
+        factor = NEXT_QUERY_GAPS if self.has_events else FIRST_QUERY_SHARE
+        return max(MIN_QUERY_S, factor * self.allowed_s)
 
     @property
-    def patience_s(self) -> float:
-        """Return the silence after which something may be wrong."""
-        return max(PROBE_SHARE * self.allowed_s, USUAL_GAPS * self.usual_gap_s)
+    def probe_after_s(self) -> float:
+        """Return the silence after which its targets may have to be probed."""
+        return max(PROBE_SHARE * self.allowed_s, TYPICAL_GAPS * self.usual_gap_s)
 
 
 def targets_to_probe(streams: Iterable[StreamSilence]) -> set[str]:
-    """Return the targets that may be dead, by what all streams show together.
+    """Return the targets that may be dead, judged by all streams together.
 
-    Load pattern: a target dies under a third of all streams.  Its path's first
-    target names it only 0.2 s later, when every pause is already too long; asked
-    directly, a live target answers within milliseconds.  Only targets that no other
-    stream has just passed are asked, so that calm seconds cost next to nothing.
+    When a target dies under a third of all streams, the first target of a path names it
+    only 0.2 s later, when every pause is already too long. A live target that is probed
+    directly answers within milliseconds. Only targets that no other stream has just
+    passed are probed, so that this costs next to nothing while all targets answer.
     """
     streams = list(streams)
-    quiet = [item for item in streams if item.silent_s >= item.patience_s]
+    quiet = [item for item in streams if item.silent_s >= item.probe_after_s]
     if not quiet:
         return set()
-    heard_ago_by_id: dict[str, float] = {}
+    event_ago_s_by_id: dict[str, float] = {}
     for item in streams:
         if item.has_events:
             for target_id in item.target_ids:
-                known = heard_ago_by_id.get(target_id, item.silent_s)
-                heard_ago_by_id[target_id] = min(known, item.silent_s)
+                known = event_ago_s_by_id.get(target_id, item.silent_s)
+                event_ago_s_by_id[target_id] = min(known, item.silent_s)
     return {
         target_id
         for item in quiet
         for target_id in item.target_ids
-        if heard_ago_by_id.get(target_id, item.silent_s) >= PROOF_SHARE * item.silent_s
+        if event_ago_s_by_id.get(target_id, item.silent_s)
+        >= ALIVE_SHARE * item.silent_s
     }
 
 
 def next_look_s(
     streams: Iterable[StreamSilence], shortest_s: float, longest_s: float
 ) -> float:
-    """Return after how long the next look at the streams can find one too silent.
+    """Return the time until the next check of the streams can find one too silent.
 
-    Load pattern: most hosts of a large fleet hold two or three streams that all go
-    well.  Looking thirty times a second finds nothing and is a tenth of what such a
-    host spends; a stream that was just heard can't be too silent before its
-    patience is over.
+    Most hosts of a large fleet hold two or three streams that all run normally. Thirty
+    checks a second find nothing there and take a tenth of what such a host spends. A
+    stream that just had an event can't be too silent before ``probe_after_s`` is over.
     """
     due_s = min(
-        (item.patience_s - item.silent_s for item in streams), default=longest_s
+        (item.probe_after_s - item.silent_s for item in streams), default=longest_s
     )
     return min(longest_s, max(shortest_s, due_s))
 
 
 class Wait(msgspec.Struct, frozen=True):
-    """Nothing is to be done."""
+    """No action is needed."""
 
 
 class Ask(msgspec.Struct, frozen=True):
-    """Ask the path's first target what stands still."""
+    """Query the path's first target for the stage that is stalled."""
 
 
 class GiveUp(msgspec.Struct, frozen=True):
-    """End this attempt and go on at another path."""
+    """End this attempt and continue on another path."""
 
 
 Step = Wait | Ask | GiveUp
@@ -147,13 +150,13 @@
     Parameters
     ----------
     asked_ago_s : float
-        Seconds since its first target was last asked, by any stream.
+        Seconds since its first target was last queried, for any stream.
     may_resume : bool
         Another attempt is allowed.
     """
-    if stream.silent_s >= GIVE_UP_SHARE * stream.caller_patience_s and may_resume:
+    if stream.silent_s >= ABANDON_SHARE * stream.caller_patience_s and may_resume:
         return GiveUp()
-    asked_lately = asked_ago_s < stream.report_lag_s + ASK_AGAIN_S
-    if stream.silent_s >= stream.ask_after_s and not asked_lately:
+    queried_recently = asked_ago_s < stream.report_lag_s + QUERY_AGAIN_S
+    if stream.silent_s >= stream.query_after_s and not queried_recently:
         return Ask()
     return Wait()
--- a/radishfield/routing/admission_queue_test.py
+++ b/radishfield/routing/admission_queue_test.py
@@ -1,118 +1,118 @@
-"""The line for places: bursts, large senders and urgent work, replayed in steps."""
+"""Tests of the admission queue with bursts, large senders and urgent requests."""
 
 import random
 
 from radishfield.routing import AdmissionQueue
-from radishfield.routing._admission_queue import HEAD, PATIENCE_SHARE
+from radishfield.routing._admission_queue import HEAD_SIZE, MAX_WAIT_SHARE
 from radishfield.routing._types import LEAST_CALLER_PATIENCE_S
 
-PATIENCE_S = PATIENCE_SHARE * LEAST_CALLER_PATIENCE_S
+MAX_WAIT_S = MAX_WAIT_SHARE * LEAST_CALLER_PATIENCE_S
 
 
-def test_urgent_work_goes_first_and_equals_by_what_their_workspace_holds():
-    line = AdmissionQueue()
+def test_urgent_work_goes_first_then_workspaces_that_hold_the_least():
+    queue = AdmissionQueue()
     for _ in range(5):
-        line.started("large")
-    large = line.join(2, "large", 0.0)
-    small = line.join(2, "small", 0.1)
-    urgent = line.join(1, "large", 0.2)
-    order = sorted([large, small, urgent], key=line._rank)
+        queue.started("large")
+    large = queue.join(2, "large", 0.0)
+    small = queue.join(2, "small", 0.1)
+    urgent = queue.join(1, "large", 0.2)
+    order = sorted([large, small, urgent], key=queue._rank)
     assert order == [urgent, small, large]
 
 
-def replay(arrivals, places, hold_s, length_s=20.0):
-    """Play arrivals of ``(at, workspace, priority)`` against a number of places.
+def replay(arrivals, slots, hold_s, length_s=20.0):
+    """Replay arrivals of ``(at, workspace, priority)`` against a number of slots.
 
-    Returns the share that got a place by workspace, and how many were turned away
-    at once and after a wait.
+    Returns the share of admitted requests by workspace, and how many requests were
+    rejected at once and after a wait.
     """
-    line, busy, waiting = AdmissionQueue(), [], []
-    chance = random.Random(1)
-    got, asked, at_once, late = {}, {}, 0, 0
+    queue, busy, waiting = AdmissionQueue(), [], []
+    rng = random.Random(1)
+    admitted, sent, rejected, expired = {}, {}, 0, 0
     arrivals = sorted(arrivals)
     now = 0.0
     while now < length_s:
         for end, workspace in [item for item in busy if item[0] <= now]:
             busy.remove((end, workspace))
-            line.ended(workspace, now)
+            queue.ended(workspace, now)
         while arrivals and arrivals[0][0] <= now:
             _, workspace, priority = arrivals.pop(0)
-            asked[workspace] = asked.get(workspace, 0) + 1
-            entry = line.join(priority, workspace, now)
-            if len(busy) >= places and line.is_hopeless(entry, now):
-                line.leave(entry)
-                at_once += 1
+            sent[workspace] = sent.get(workspace, 0) + 1
+            entry = queue.join(priority, workspace, now)
+            if len(busy) >= slots and queue.is_hopeless(entry, now):
+                queue.leave(entry)
+                rejected += 1
             else:
                 waiting.append(entry)
-        for entry in sorted(waiting, key=line._rank):
-            if len(busy) < places and line.may_try(entry):
-                line.leave(entry)
+        for entry in sorted(waiting, key=queue._rank):
+            if len(busy) < slots and queue.may_try(entry):
+                queue.leave(entry)
                 waiting.remove(entry)
-                line.started(entry.workspace)
-                busy.append((now + chance.uniform(0.2, 1.8) * hold_s, entry.workspace))
-                got[entry.workspace] = got.get(entry.workspace, 0) + 1
-            elif line.has_expired(entry, now):
-                line.leave(entry)
+                queue.started(entry.workspace)
+                busy.append((now + rng.uniform(0.2, 1.8) * hold_s, entry.workspace))
+                admitted[entry.workspace] = admitted.get(entry.workspace, 0) + 1
+            elif queue.has_expired(entry, now):
+                queue.leave(entry)
                 waiting.remove(entry)
-                late += 1
+                expired += 1
         now += 0.01
-    shares = {name: got.get(name, 0) / count for name, count in asked.items()}
-    return shares, at_once, late
+    shares = {name: admitted.get(name, 0) / count for name, count in sent.items()}
+    return shares, rejected, expired
 
 
-def load(chance, per_s, workspace, priority=1, length_s=18.0):
+def random_arrivals(rng, per_s, workspace, priority=1, length_s=18.0):
     return [
-        (chance.uniform(0.0, length_s), workspace, priority)
+        (rng.uniform(0.0, length_s), workspace, priority)
         for _ in range(int(per_s * length_s))
     ]
 
 
 def test_a_workspace_that_floods_the_host_does_not_keep_the_others_out():
-    """One workspace sends four times what fits, nine send a little each.
+    """One workspace sends four times what fits, and nine others send a little each.
 
-    In order of arrival all of them would get the same quarter; the small ones ask
-    for less than an even part and get nearly all of it.
+    In order of arrival all of them would get the same quarter. The small ones ask for
+    less than an even share and get nearly all of it.
     """
-    chance = random.Random(7)
-    arrivals = load(chance, 80, "flood")
+    rng = random.Random(7)
+    arrivals = random_arrivals(rng, 80, "flood")
     for number in range(9):
-        arrivals += load(chance, 1, f"small-{number}")
-    shares, _, _ = replay(arrivals, places=40, hold_s=2.0)
+        arrivals += random_arrivals(rng, 1, f"small-{number}")
+    shares, _, _ = replay(arrivals, slots=40, hold_s=2.0)
     small = [share for name, share in shares.items() if name != "flood"]
     assert sum(small) / len(small) > 0.9
     assert 0.1 < shares["flood"] < 0.3
 
 
-def test_most_of_what_cannot_be_served_is_told_at_once():
-    """Twice as many requests come as there are places for, for a long time.
+def test_most_excess_requests_are_rejected_at_once():
+    """Twice as many requests come as there are slots for, for a long time.
 
-    Without a forecast each would stand in line until its patience is over, and
-    learn only then that it should come back.
+    Without a forecast each request would wait in the queue for its maximum wait, and
+    only then be told to retry.
     """
-    chance = random.Random(8)
-    _, at_once, late = replay(load(chance, 60, "w"), places=40, hold_s=2.0)
-    assert at_once > 3 * late
+    rng = random.Random(8)
+    _, rejected, expired = replay(random_arrivals(rng, 60, "w"), slots=40, hold_s=2.0)
+    assert rejected > 3 * expired
 
 
 def test_a_short_burst_waits_and_is_served():
-    chance = random.Random(9)
-    arrivals = load(chance, 10, "w")
-    arrivals += [(5.0 + chance.uniform(0, 0.3), "w", 1) for _ in range(25)]
-    shares, at_once, late = replay(arrivals, places=40, hold_s=2.0)
+    rng = random.Random(9)
+    arrivals = random_arrivals(rng, 10, "w")
+    arrivals += [(5.0 + rng.uniform(0, 0.3), "w", 1) for _ in range(25)]
+    shares, rejected, expired = replay(arrivals, slots=40, hold_s=2.0)
     assert shares["w"] > 0.97
 
 
-def test_only_the_head_of_the_line_tries():
-    line = AdmissionQueue()
-    entries = [line.join(1, "w", 0.0) for _ in range(HEAD + 2)]
-    assert [line.may_try(entry) for entry in entries].count(True) == HEAD
-    line.leave(entries[0])
-    assert line.may_try(entries[HEAD])
+def test_only_the_head_of_the_queue_may_try():
+    queue = AdmissionQueue()
+    entries = [queue.join(1, "w", 0.0) for _ in range(HEAD_SIZE + 2)]
+    assert [queue.may_try(entry) for entry in entries].count(True) == HEAD_SIZE
+    queue.leave(entries[0])
+    assert queue.may_try(entries[HEAD_SIZE])
 
 
-def test_nobody_waits_longer_than_a_caller_stays():
-    line = AdmissionQueue()
-    entry = line.join(1, "w", 0.0)
-    assert not line.has_expired(entry, PATIENCE_S - 0.1)
-    assert line.has_expired(entry, PATIENCE_S)
-    assert line.return_after_s(entry, PATIENCE_S) >= 0.5
+def test_request_expires_after_its_maximum_wait():
+    queue = AdmissionQueue()
+    entry = queue.join(1, "w", 0.0)
+    assert not queue.has_expired(entry, MAX_WAIT_S - 0.1)
+    assert queue.has_expired(entry, MAX_WAIT_S)
+    assert queue.return_after_s(entry, MAX_WAIT_S) >= 0.5
--- a/radishfield/routing/links_test.py
+++ b/radishfield/routing/links_test.py
@@ -1,4 +1,4 @@
-"""Links between zones: what all hosts put on them, and when they are closed."""
+"""Tests of the load that all hosts put on the links, and of when links are closed."""
 
 import random
 
@@ -17,11 +17,11 @@
 
 PAIR = ("a", "b")
 PROMPT_MS = 400.0
-USUAL = Demand(774, 203)
+DEMAND = Demand(774, 203)
 
 
-def test_use_by_hosts_that_are_never_heard_counts_by_their_zones_sum():
-    """Forty hosts of another zone fill a link; this host hears five of them."""
+def test_zone_total_covers_hosts_that_send_no_report_here():
+    """Forty hosts of another zone fill a link; this host receives reports from five."""
     links = LinkUsage()
     for number in range(5):
         links.report_remote(f"b{number}", {PAIR: 0.02}, "b")
@@ -31,28 +31,29 @@
     assert links.full(links.shares(10.0, "a")) == {PAIR}
 
 
-def test_own_prompts_count_once_beside_the_own_zones_sum():
+def test_own_prompts_count_once_beside_the_own_zone_total():
     links = LinkUsage()
     links.crossed(PAIR, PROMPT_MS, 9.0)
     links.told_own(9.1)
     links.sums.take("a", ZoneSum(9.2, {PAIR: 0.5}))
     links.crossed(PAIR, PROMPT_MS, 9.5)
-    # The sum holds the first prompt, not the second one.
+    # The zone total contains the first prompt, not the second one.
     assert links.shares(9.6, "a")[PAIR] == pytest.approx(0.7)
 
 
-def test_old_sum_gives_way_to_what_single_hosts_told():
+def test_old_zone_total_is_replaced_by_reports_of_single_hosts():
     links = LinkUsage()
     links.report_remote("b1", {PAIR: 0.1}, "b")
     links.sums.take("b", ZoneSum(8.0, {PAIR: 0.8}))
     assert links.shares(10.0, "a")[PAIR] == pytest.approx(0.1)
 
 
-def test_link_stays_closed_until_what_was_sent_over_it_is_through():
-    """Forty streams move at once, and sixteen seconds of prompts stand in a link.
+def test_link_stays_closed_until_its_backlog_is_through():
+    """Forty streams move at once, and sixteen seconds of prompts wait in a link.
 
-    Two seconds later none of them is in the window any more.  Taken for free, the
-    link gets the next wave on top, and no stream is served for as long as it lasts.
+    Two seconds later none of them is in the window any more. If the link then counted
+    as free, it would get the next wave on top, and no stream would be served for as
+    long as that lasts.
     """
     links = LinkUsage()
     links.advance(0.0)
@@ -74,27 +75,28 @@
         make_target("near", "a", "a100", (0, 40)),
         make_target("far", "b", "a100", (40, 80)),
     ]
-    assert PathFinder(engine, LoadTable(), "a").find(records, USUAL) is not None
+    assert PathFinder(engine, LoadTable(), "a").find(records, DEMAND) is not None
     finder = PathFinder(engine, LoadTable(), "a", {}, {PAIR})
-    assert finder.find(records, USUAL) is None
+    assert finder.find(records, DEMAND) is None
 
 
 def sent_at_once(hosts, contenders, rounds=200):
-    """Return the mean of prompts that hosts send which all choose one link at once."""
+    """Return the mean number of prompts sent by hosts that choose one link at once."""
     room = room_prompts(0.0, PROMPT_MS)
     total = 0
     for seed in range(rounds):
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         for _ in range(hosts):
             gate = CrossingGate()
-            total += gate.is_open(PAIR, room, contenders, 1.0, chance)
+            total += gate.is_open(PAIR, room, contenders, 1.0, rng)
     return total / rounds, room
 
 
 def test_hosts_that_choose_at_the_same_moment_fill_the_link_once():
-    """Twenty-three hosts see a free link that has room for three prompts.
+    """Twenty-three hosts see a free link that takes three prompts.
 
-    Each sends one before it hears of the others, and the last waits nine seconds.
+    Without a draw each would send one before it receives the others' reports, and the
+    last would wait nine seconds.
     """
     sent, room = sent_at_once(hosts=23, contenders=23)
     assert room == pytest.approx(3.5)
@@ -107,13 +109,11 @@
 
 
 def test_draw_holds_until_others_can_know_of_it():
-    chance = random.Random(1)
+    rng = random.Random(1)
     gate = CrossingGate()
-    drawn = [gate.is_open(PAIR, 1.0, 100.0, 5.0 + 0.05 * n, chance) for n in range(10)]
-    assert len(set(drawn)) == 1
-    opened = sum(
-        CrossingGate().is_open(PAIR, 1.0, 4.0, 5.0, chance) for _ in range(400)
-    )
+    results = [gate.is_open(PAIR, 1.0, 100.0, 5.0 + 0.05 * n, rng) for n in range(10)]
+    assert len(set(results)) == 1
+    opened = sum(CrossingGate().is_open(PAIR, 1.0, 4.0, 5.0, rng) for _ in range(400))
     assert 70 <= opened <= 130
 
 
--- a/radishfield/routing/load_test.py
+++ b/radishfield/routing/load_test.py
@@ -1,4 +1,4 @@
-"""Tests of what a host takes other hosts' work for, in a zone of many hosts."""
+"""Tests of what a host records of other hosts' work in a zone of many hosts."""
 
 import random
 
@@ -16,7 +16,7 @@
 from radishfield.routing.conftest import make_engine, make_target
 
 HOSTS = 30
-HEARD = 6
+REPORTS_PER_ROUND = 6
 ROUND_S = 0.25
 STREAM_S = 4.0
 DEMAND = Demand(774, 203)
@@ -29,8 +29,8 @@
     }
 
 
-def test_a_sum_counts_own_work_once_and_follows_it():
-    """A host's own work is in the sum as it told it; what it began since is not."""
+def test_zone_total_counts_own_work_once_and_follows_it():
+    """A zone total contains a host's work as last reported, without later starts."""
     table = LoadTable()
     table.started("t", 100.0, first=True)
     table.told_own(1.0)
@@ -43,7 +43,7 @@
     assert table.held("t") == TargetLoad(4, 400.0, 2)
 
 
-def test_an_old_sum_gives_way_to_what_single_hosts_told():
+def test_old_zone_total_is_replaced_by_reports_of_single_hosts():
     table = LoadTable()
     table.report_remote("h", {"t": TargetLoad(1, 10.0, 0)}, 5.0, "a")
     table.sums.take("a", ZoneSum(5.0, {"t": TargetLoad(7, 70.0, 0)}))
@@ -53,8 +53,8 @@
     assert table.held("t").requests == 1
 
 
-def test_work_of_a_zone_that_tells_no_sum_is_added_host_by_host():
-    """Callers' streams meet a card that a small zone fills beside the large one."""
+def test_work_of_a_zone_without_totals_is_added_host_by_host():
+    """Streams meet at an accelerator that a small zone and a large one both fill."""
     table = LoadTable()
     table.report_remote("b1", {"t": TargetLoad(2, 20.0, 1)}, 5.0, "b")
     table.report_remote("a2", {"t": TargetLoad(3, 30.0, 1)}, 5.0, "a")
@@ -63,7 +63,7 @@
     assert table.held("t") == TargetLoad(9, 90.0, 4)
 
 
-def test_an_earlier_sum_does_not_replace_a_later_one():
+def test_earlier_zone_total_does_not_replace_a_later_one():
     table = LoadTable()
     table.sums.take("a", ZoneSum(5.0, {"t": TargetLoad(7, 70.0, 0)}))
     table.sums.take("a", ZoneSum(4.8, {"t": TargetLoad(2, 20.0, 0)}))
@@ -74,22 +74,29 @@
 @pytest.mark.parametrize(
     ("sums", "fill_range"), [(False, (1.3, 1.6)), (True, (0.9, 1.2))]
 )
-def test_thirty_hosts_that_hear_few_others_fill_the_fastest_cards(sums, fill_range):
-    """Callers' streams are thrown out of the cards that every host likes best.
+def test_thirty_hosts_with_few_reports_fill_the_fastest_accelerators(sums, fill_range):
+    """Streams are evicted from the accelerators that every host prefers.
 
-    Thirty hosts start three streams each in four seconds, at random times.  Each
-    hears some of the others' work, and the worst card is sent nearly half more than it
-    holds; with sums it knows all of it, a moment late, and a fifth more at the most.
+    Thirty hosts start three streams each in four seconds, at random times. When each
+    receives the reports of some others, the worst accelerator is sent nearly half more
+    than it holds. With zone totals each knows all of the work a moment late, and sends
+    a fifth more at the most.
     """
-    engine, chance = make_engine(), random.Random(7)
-    cards = ["a100"] * 2 + ["l40s"] * 6 + ["l4"] * 4
-    empty = [make_target(f"t{n}", "a", card) for n, card in enumerate(cards)]
+    engine, rng = make_engine(), random.Random(7)
+    accelerators = ["a100"] * 2 + ["l40s"] * 6 + ["l4"] * 4
+    empty = [
+        make_target(f"t{n}", "a", accelerator)
+        for n, accelerator in enumerate(accelerators)
+    ]
     span_by_id = {item.target.id: item.span for item in plan_layout(engine, empty)}
     records = [
         make_target(
-            f"t{n}", "a", card, (span_by_id[f"t{n}"].first, span_by_id[f"t{n}"].end)
+            f"t{n}",
+            "a",
+            accelerator,
+            (span_by_id[f"t{n}"].first, span_by_id[f"t{n}"].end),
         )
-        for n, card in enumerate(cards)
+        for n, accelerator in enumerate(accelerators)
     ]
     capacity = {item.id: capacity_token_layers(engine, item) for item in records}
     tables = [LoadTable() for _ in range(HOSTS)]
@@ -101,25 +108,25 @@
             for index, part in enumerate(path):
                 table.ended(part.target_id, DEMAND.tokens * len(part.span), index == 0)
         running = [item for item in running if item[0] > now]
-        whole = {}
+        zone_total = {}
         for number, table in enumerate(tables):
             table.told_own(now)
             table.expire_remote(now)
-            told = copied(table.own_by_id)
-            for name, held in told.items():
-                total = whole.setdefault(name, TargetLoad())
+            reported = copied(table.own_by_id)
+            for name, held in reported.items():
+                total = zone_total.setdefault(name, TargetLoad())
                 total.requests += held.requests
                 total.token_layers += held.token_layers
                 total.as_first += held.as_first
-            for other in chance.sample(range(HOSTS), HEARD):
+            for other in rng.sample(range(HOSTS), REPORTS_PER_ROUND):
                 if other != number:
-                    tables[other].report_remote(f"h{number}", told, now, "a")
+                    tables[other].report_remote(f"h{number}", reported, now, "a")
         for table in tables:
             if sums:
-                table.sums.take("a", ZoneSum(now, copied(whole)))
+                table.sums.take("a", ZoneSum(now, copied(zone_total)))
             table.add_up("a", now)
         for table in tables:
-            if chance.random() < 3 * ROUND_S / STREAM_S:
+            if rng.random() < 3 * ROUND_S / STREAM_S:
                 path = PathFinder(engine, table, "a").find(records, DEMAND)
                 if path is None:
                     continue
--- a/radishfield/routing/paces_test.py
+++ b/radishfield/routing/paces_test.py
@@ -1,4 +1,4 @@
-"""How a slow target is found by many hosts that each see little of it."""
+"""Tests of how many hosts that each see few of its streams find a slow target."""
 
 import random
 
@@ -15,7 +15,7 @@
 from radishfield.routing._types import LayerSpan, PathPart
 from radishfield.routing.conftest import make_engine, make_target
 
-USUAL = Demand(774, 203)
+DEMAND = Demand(774, 203)
 HOSTS = 40
 EVENT_TOKENS = 6
 
@@ -23,93 +23,94 @@
 def fleet():
     engine = make_engine()
     empty = [
-        make_target(f"{zone}{number}", zone, card)
+        make_target(f"{zone}{number}", zone, accelerator)
         for zone in "abc"
-        for number, card in enumerate(["a100"] * 2 + ["l40s"] * 6 + ["l4"] * 4)
+        for number, accelerator in enumerate(["a100"] * 2 + ["l40s"] * 6 + ["l4"] * 4)
     ]
     spans = {item.target.id: item.span for item in plan_layout(engine, empty)}
     records = [
         make_target(
-            each.id,
-            each.zone,
-            each.accelerator,
-            (spans[each.id].first, spans[each.id].end),
+            target.id,
+            target.zone,
+            target.accelerator,
+            (spans[target.id].first, spans[target.id].end),
         )
-        for each in empty
+        for target in empty
     ]
     return engine, records
 
 
-def pause_ms(engine, by_id, path, slow, chance):
-    """Return the pause between events over a path, with a target of thrice its time."""
+def pause_ms(engine, by_id, path, slow, rng):
+    """Return a path's pause between events; a slow target takes three times as long."""
     total = 0.0
     for part in path:
         own = path_ms(engine, by_id, LoadTable(), (part,))
         total += own * (3.0 if part.target_id == slow else 1.0)
-    return total * EVENT_TOKENS * chance.uniform(0.9, 1.2)
+    return total * EVENT_TOKENS * rng.uniform(0.9, 1.2)
 
 
-def test_slow_target_is_found_within_a_second_by_hosts_that_each_see_little():
-    """One target of forty turns slow, and says nothing of it until it is asked.
+def test_slow_target_is_found_within_a_second_by_hosts_with_few_streams():
+    """One target of forty turns slow, and does not report it until it is queried.
 
-    Forty hosts have two streams each.  Those whose stream passes the target ask its
-    path's targets, learn which one it is, and tell the others; in calm nobody asks.
+    Forty hosts have two streams each. Those with a stream through the target query the
+    targets of its path, identify the slow one, and notify the others. While no target
+    is slow, no host queries any.
     """
     engine, records = fleet()
     by_id = {record.id: record for record in records}
-    chance = random.Random(3)
+    rng = random.Random(3)
     hosts = [Paces() for _ in range(HOSTS)]
     load = LoadTable()
 
     def streams():
-        finder = PathFinder(engine, load, "a", spread=0.4, chance=chance)
-        return [finder.find(records, USUAL) for _ in range(2)]
+        finder = PathFinder(engine, load, "a", spread=0.4, rng=rng)
+        return [finder.find(records, DEMAND) for _ in range(2)]
 
-    asked_in_calm = 0
+    queries_before_slowdown = 0
     for _ in range(12):
         for paces in hosts:
             for path in streams():
-                pause = pause_ms(engine, by_id, path, None, chance)
+                pause = pause_ms(engine, by_id, path, None, rng)
                 expected = path_ms(engine, by_id, load, path)
-                asked_in_calm += paces.is_slow(pause, expected)
+                queries_before_slowdown += paces.is_slow(pause, expected)
                 paces.learn(pause, expected)
-    assert asked_in_calm == 0
+    assert queries_before_slowdown == 0
 
     slow = "a0"
     found = set()
     for paces in hosts:
         for path in streams():
-            pause = pause_ms(engine, by_id, path, slow, chance)
+            pause = pause_ms(engine, by_id, path, slow, rng)
             if paces.is_slow(pause, path_ms(engine, by_id, load, path)):
                 for part in path:
-                    pace = 3.0 if part.target_id == slow else 1.0
-                    if paces.note(part.target_id, pace, 100.0):
+                    slowdown = 3.0 if part.target_id == slow else 1.0
+                    if paces.note(part.target_id, slowdown, 100.0):
                         found.add(part.target_id)
     assert found == {slow}
 
 
-def passes(engine, records, target_id, pace_by_id):
-    """Return in how many of 200 paths a target is."""
-    finder = PathFinder(engine, LoadTable(), "a", spread=0.5, chance=random.Random(1))
-    paths = [finder.find(records, USUAL, pace_by_id=pace_by_id) for _ in range(200)]
+def count_paths_through(engine, records, target_id, pace_by_id):
+    """Return how many of 200 paths contain a target."""
+    finder = PathFinder(engine, LoadTable(), "a", spread=0.5, rng=random.Random(1))
+    paths = [finder.find(records, DEMAND, pace_by_id=pace_by_id) for _ in range(200)]
     return sum(target_id in {part.target_id for part in path} for path in paths)
 
 
 def test_slow_target_loses_streams_in_proportion_and_gets_them_back():
     engine, records = fleet()
     paces = Paces()
-    usual = passes(engine, records, "a0", paces.by_id())
+    count_normal = count_paths_through(engine, records, "a0", paces.by_id())
     paces.note("a0", 1.3, 100.0)
-    little = passes(engine, records, "a0", paces.by_id())
+    count_slightly_slow = count_paths_through(engine, records, "a0", paces.by_id())
     paces.note("a0", 4.0, 101.0)
-    much = passes(engine, records, "a0", paces.by_id())
-    assert usual > little > much
-    assert little > 0
+    count_very_slow = count_paths_through(engine, records, "a0", paces.by_id())
+    assert count_normal > count_slightly_slow > count_very_slow
+    assert count_slightly_slow > 0
     paces.expire(107.0)
-    assert passes(engine, records, "a0", paces.by_id()) == usual
+    assert count_paths_through(engine, records, "a0", paces.by_id()) == count_normal
 
 
-def test_target_that_is_well_again_is_told_and_then_forgotten():
+def test_recovered_target_is_reported_and_then_dropped():
     paces = Paces()
     assert paces.note("t", 3.0, 100.0)
     assert not paces.note("t", 2.5, 101.0)
@@ -122,7 +123,7 @@
     assert paces.known(109.0) == []
 
 
-def test_older_word_does_not_replace_a_newer_one():
+def test_older_report_does_not_replace_a_newer_one():
     paces = Paces()
     paces.note("t", 3.0, 100.0)
     paces.note("t", 1.0, 99.0)
@@ -134,5 +135,5 @@
     engine = make_engine()
     record = make_target("t", span=layers)
     path = (PathPart("t", record.address, LayerSpan(*layers)),)
-    whole = path_ms(engine, {"t": record}, LoadTable(), path)
-    assert whole == pytest.approx(engine.step_ms * 5.6 * layers[1] / 80)
+    expected_ms = path_ms(engine, {"t": record}, LoadTable(), path)
+    assert expected_ms == pytest.approx(engine.step_ms * 5.6 * layers[1] / 80)
--- a/radishfield/routing/paths_test.py
+++ b/radishfield/routing/paths_test.py
@@ -1,4 +1,4 @@
-"""Paths over unequal cards, under load and after losses."""
+"""Tests of paths over unequal accelerators, under load and after failures."""
 
 import random
 import time
@@ -18,20 +18,20 @@
     pair_of,
     plan_layout,
 )
-from radishfield.routing._paths import FULL
+from radishfield.routing._paths import MAX_FILL
 from radishfield.routing._types import LayerSpan
 from radishfield.routing.conftest import make_engine, make_target
 
-USUAL = Demand(774, 203)
+DEMAND = Demand(774, 203)
 
 
 def placed(assignments):
-    """Return the targets as they are once their orders are carried out."""
+    """Return the targets as they are after the assignments are carried out."""
     return [replace(item.target, span=item.span) for item in assignments]
 
 
 def fleet(engine):
-    """Return a fleet like the users': 33 cards of three kinds in three zones."""
+    """Return a fleet like the users': 33 accelerators of three kinds in three zones."""
     counts = {"a": (1, 6, 5), "b": (2, 2, 5), "c": (1, 3, 8)}
     empty = [
         make_target(f"{zone}-{kind}-{index}", zone, kind)
@@ -42,7 +42,7 @@
     return placed(plan_layout(engine, empty))
 
 
-def hold(load, path, demand):
+def start_request(load, path, demand):
     for index, part in enumerate(path):
         load.started(part.target_id, demand.tokens * len(part.span), index == 0)
 
@@ -50,15 +50,15 @@
 def test_a_path_runs_every_layer_once_and_stays_in_one_zone(engine):
     records = fleet(engine)
     for zone in "abc":
-        path = PathFinder(engine, LoadTable(), zone).find(records, USUAL)
+        path = PathFinder(engine, LoadTable(), zone).find(records, DEMAND)
         assert covers_once(path, engine.layers)
         assert len({part.target_id[0] for part in path}) == 1
 
 
 def test_a_path_stays_in_its_zone_where_no_delays_are_named():
-    """A service leaves out the ways between its zones.
+    """A service does not configure the delays between its zones.
 
-    Taken for none, requests would cross to whichever zone is named first.
+    If they counted as zero, requests would cross to whichever zone is named first.
     """
     engine = make_engine(delay_ms_by_pair={})
     records = [
@@ -67,52 +67,53 @@
         for index in range(5)
     ]
     for zone in "abc":
-        path = PathFinder(engine, LoadTable(), zone).find(records, USUAL)
+        path = PathFinder(engine, LoadTable(), zone).find(records, DEMAND)
         assert {part.target_id[0] for part in path} == {zone}
 
 
 def test_any_one_target_may_die_and_each_zone_still_has_a_path(engine):
-    """One card dies, the zone's only large one among them.
+    """One target dies, which may be the zone's only large one.
 
-    A fixed chain would lose the zone's whole part; here another target of any
-    zone runs the same layers.
+    With a fixed chain the zone would lose all of its capacity. Here another target of
+    any zone runs the same layers.
     """
     records = fleet(engine)
     for dead in records:
         left = [record for record in records if record.id != dead.id]
         for zone in "abc":
-            path = PathFinder(engine, LoadTable(), zone).find(left, USUAL)
+            path = PathFinder(engine, LoadTable(), zone).find(left, DEMAND)
             assert covers_once(path, engine.layers), dead.id
 
 
-def test_a_zone_that_is_cut_off_has_a_path_of_its_own(engine):
+def test_a_partitioned_zone_has_a_path_of_its_own(engine):
     records = fleet(engine)
     for zone in "abc":
         own = [record for record in records if record.zone == zone]
-        assert PathFinder(engine, LoadTable(), zone).find(own, USUAL) is not None
+        assert PathFinder(engine, LoadTable(), zone).find(own, DEMAND) is not None
 
 
 def test_load_spreads_over_the_fleet_before_anything_is_refused(engine):
     """Requests come to three zones until the first has no path.
 
-    Memory is what binds; with a path by speed alone the fast cards fill first
-    and requests are refused while three quarters of the memory lie idle.
+    Memory is the limit. With paths chosen by speed alone, the fast accelerators would
+    fill first, and requests would be refused while three quarters of the memory are
+    idle.
     """
     records = fleet(engine)
     load = LoadTable()
     admitted = 0
     while True:
-        path = PathFinder(engine, load, "abc"[admitted % 3]).find(records, USUAL)
+        path = PathFinder(engine, load, "abc"[admitted % 3]).find(records, DEMAND)
         if path is None:
             break
-        hold(load, path, USUAL)
+        start_request(load, path, DEMAND)
         admitted += 1
     total = sum(capacity_token_layers(engine, record) for record in records)
-    used = admitted * USUAL.tokens * engine.layers
+    used = admitted * DEMAND.tokens * engine.layers
     assert used / total > 0.75
 
 
-def test_a_full_target_is_left_out(engine):
+def test_a_full_target_is_excluded(engine):
     records = [
         make_target("small", span=(0, 80), accelerator="big"),
         make_target("other", "b", span=(0, 80), accelerator="big"),
@@ -124,23 +125,23 @@
     )
     load = LoadTable()
     load.started("small", capacity_token_layers(engine, records[0]), True)
-    path = PathFinder(engine, load, "a").find(records, USUAL)
+    path = PathFinder(engine, load, "a").find(records, DEMAND)
     assert [part.target_id for part in path] == ["other"]
     load.started("other", capacity_token_layers(engine, records[1]), True)
-    assert PathFinder(engine, load, "a").find(records, USUAL) is None
+    assert PathFinder(engine, load, "a").find(records, DEMAND) is None
 
 
-def test_a_target_never_stands_twice_in_a_path(engine):
-    """A fast card holds the middle of what a slow one holds.
+def test_a_target_never_occurs_twice_in_a_path(engine):
+    """A fast accelerator holds the middle of what a slow one holds.
 
-    Cheapest by layer would be slow, fast, slow; targets refuse a path that
+    The cheapest path by layer would be slow, fast, slow. Targets refuse a path that
     names one of them twice.
     """
     records = [
         make_target("slow", accelerator="l4", span=(0, 80)),
         make_target("fast", accelerator="a100", span=(24, 56)),
     ]
-    path = PathFinder(engine, LoadTable(), "a").find(records, USUAL)
+    path = PathFinder(engine, LoadTable(), "a").find(records, DEMAND)
     if path is not None:
         assert covers_once(path, 80)
 
@@ -148,10 +149,10 @@
 def test_a_path_is_changed_around_any_dead_part_but_its_first(engine):
     records = fleet(engine)
     finder = PathFinder(engine, LoadTable(), "a")
-    path = finder.find(records, USUAL)
+    path = finder.find(records, DEMAND)
     for dead in path[1:]:
         left = [record for record in records if record.id != dead.target_id]
-        moved = finder.find(left, USUAL, path[0])
+        moved = finder.find(left, DEMAND, path[0])
         assert moved[0] == path[0]
         assert covers_once(moved, engine.layers)
 
@@ -163,14 +164,14 @@
         make_target("tail-2", accelerator="a100", span=(40, 80)),
     ]
     finder = PathFinder(engine, LoadTable(), "a")
-    path = finder.find(records, USUAL, pace_by_id={"tail-1": 5.0})
+    path = finder.find(records, DEMAND, pace_by_id={"tail-1": 5.0})
     assert path[1].target_id == "tail-2"
 
 
 @pytest.mark.parametrize("spans", [[(0, 40)], [(0, 40), (48, 80)], [(8, 80)], []])
 def test_no_path_where_layers_are_missing(engine, spans):
     records = [make_target(f"t{n}", span=span) for n, span in enumerate(spans)]
-    assert PathFinder(engine, LoadTable(), "a").find(records, USUAL) is None
+    assert PathFinder(engine, LoadTable(), "a").find(records, DEMAND) is None
 
 
 def test_a_path_over_a_fleet_of_86_targets_is_found_in_time(engine):
@@ -184,26 +185,26 @@
     finder = PathFinder(engine, LoadTable(), "a")
     started = time.process_time()
     for _ in range(20):
-        assert finder.find(records, USUAL) is not None
+        assert finder.find(records, DEMAND) is not None
     assert (time.process_time() - started) / 20 < 0.02
 
 
 def test_covers_once_rejects_gaps_overlaps_and_repeats(engine):
-    path = PathFinder(engine, LoadTable(), "a").find(fleet(engine), USUAL)
+    path = PathFinder(engine, LoadTable(), "a").find(fleet(engine), DEMAND)
     assert not covers_once(path[1:], 80)
     assert not covers_once(path + path[-1:], 80)
     first = path[0].__class__(path[0].target_id, path[0].address, LayerSpan(0, 1))
     assert not covers_once((first, *path[1:]), 80)
 
 
-def test_a_full_pipe_between_zones_is_left_alone(engine):
+def test_a_full_link_between_zones_is_not_used(engine):
     """A zone lacks a few layers, and its requests cross to another zone and back.
 
-    Each prompt holds the link for 30 ms and every token waits behind it; with a
-    fixed price per crossing the link fills and all streams slow down.
+    Each prompt holds the link for 30 ms and every token waits behind it. With a fixed
+    price per crossing, the link would fill and all streams would slow down.
     """
     records = [record for record in fleet(engine) if record.zone != "c"]
-    lacking = [
+    incomplete = [
         record
         for record in records
         if record.zone != "a" or not record.span.first <= 40 < record.span.end
@@ -213,14 +214,14 @@
     for number in range(120):
         now = number / 20
         finder = PathFinder(engine, load, "a", links.shares(now))
-        path = finder.find(lacking, USUAL)
+        path = finder.find(incomplete, DEMAND)
         zones = [part.target_id[0] for part in path]
         for zone, other in zip(zones, zones[1:], strict=False):
             if zone != other:
                 links.crossed(pair_of(zone, other), engine.transfer_ms(774), now)
                 crossed += 1
         if number < 60:
-            hold(load, path, USUAL)
+            start_request(load, path, DEMAND)
         assert links.shares(now).get(("a", "b"), 0.0) < 0.75
     assert crossed > 0
 
@@ -228,7 +229,7 @@
 def test_a_path_never_mixes_two_versions_of_the_weights(engine):
     """New weights are rolled out target by target.
 
-    A path over parts of both versions would give tokens of neither model.
+    A path over stages of both versions would give tokens of neither model.
     """
     old = [
         make_target("o1", accelerator="a100", span=(0, 40), weights_version=1),
@@ -237,15 +238,15 @@
     half = make_target("n1", accelerator="a100", span=(0, 40), weights_version=2)
     rest = make_target("n2", accelerator="a100", span=(40, 80), weights_version=2)
     finder = PathFinder(engine, LoadTable(), "a")
-    ids = [part.target_id for part in finder.find([*old, half], USUAL)]
+    ids = [part.target_id for part in finder.find([*old, half], DEMAND)]
     assert ids == ["o1", "o2"]
-    ids = [part.target_id for part in finder.find([*old, half, rest], USUAL)]
+    ids = [part.target_id for part in finder.find([*old, half, rest], DEMAND)]
     assert ids == ["n1", "n2"]
-    assert finder.find([old[0], rest], USUAL) is None
+    assert finder.find([old[0], rest], DEMAND) is None
 
 
 def large_fleet(engine):
-    """Return five zones of some forty cards each."""
+    """Return five zones of about forty accelerators each."""
     counts = {
         "a": (2, 19, 17),
         "b": (6, 8, 21),
@@ -263,13 +264,13 @@
 
 
 def worst_fill(engine, records, spread, starts):
-    """Return how full a target gets that hosts fill which know nothing new."""
-    chance, load = random.Random(5), LoadTable()
-    unaware = {zone: LoadTable() for zone in "abcde"}
+    """Return the highest fill of a target when hosts know nothing of new streams."""
+    rng, load = random.Random(5), LoadTable()
+    load_by_zone = {zone: LoadTable() for zone in "abcde"}
     for number in range(starts):
         zone = "abcde"[number % 5]
-        finder = PathFinder(engine, unaware[zone], zone, spread=spread, chance=chance)
-        hold(load, finder.find(records, USUAL), USUAL)
+        finder = PathFinder(engine, load_by_zone[zone], zone, spread=spread, rng=rng)
+        start_request(load, finder.find(records, DEMAND), DEMAND)
     by_id = {record.id: record for record in records}
     return max(
         held.token_layers / capacity_token_layers(engine, by_id[target_id])
@@ -277,57 +278,60 @@
     )
 
 
-def test_hosts_that_choose_at_the_same_moment_do_not_all_choose_the_same(engine):
-    """Two hundred hosts start 150 streams before any has heard of the others'.
+def test_hosts_that_choose_at_the_same_moment_choose_different_paths(engine):
+    """Two hundred hosts start 150 streams before any receives the others' reports.
 
-    Thirty come in each zone, where one path has room for some forty beside what it
-    runs already; all on the cheapest one, they fill it at once, and are refused.
+    Thirty come in each zone, where one path has capacity for about forty beside what it
+    runs already. If all chose the cheapest path, they would fill it at once and be
+    refused.
     """
     records = large_fleet(engine)
     starts = 150
     assert worst_fill(engine, records, 0.0, starts) > 1.0
-    assert worst_fill(engine, records, choice_spread(starts), starts) < FULL
+    assert worst_fill(engine, records, choice_spread(starts), starts) < MAX_FILL
 
 
 def refused(engine, records, spread, streams, hosts=195):
-    """Return how many of some streams find no room in four tries.
+    """Return how many of some streams find no free capacity in four attempts.
 
-    Each host knows its own streams only, and which target was full.
+    Each host knows only its own streams, and which target was full.
     """
-    chance, load = random.Random(2), LoadTable()
+    rng, load = random.Random(2), LoadTable()
     own = [LoadTable() for _ in range(hosts)]
-    room = {record.id: capacity_token_layers(engine, record) for record in records}
+    capacity_by_id = {
+        record.id: capacity_token_layers(engine, record) for record in records
+    }
     count = 0
     for _ in range(streams):
-        host = chance.randrange(hosts)
+        host = rng.randrange(hosts)
         zone = "abcde"[host % 5]
         full = set()
         for _ in range(4):
-            finder = PathFinder(engine, own[host], zone, spread=spread, chance=chance)
-            path = finder.find([r for r in records if r.id not in full], USUAL)
-            over = {
+            finder = PathFinder(engine, own[host], zone, spread=spread, rng=rng)
+            path = finder.find([r for r in records if r.id not in full], DEMAND)
+            overfilled = {
                 part.target_id
                 for part in path
                 if load.held(part.target_id).token_layers
-                + USUAL.tokens * len(part.span)
-                > room[part.target_id]
+                + DEMAND.tokens * len(part.span)
+                > capacity_by_id[part.target_id]
             }
-            if not over:
-                hold(load, path, USUAL)
-                hold(own[host], path, USUAL)
+            if not overfilled:
+                start_request(load, path, DEMAND)
+                start_request(own[host], path, DEMAND)
                 break
-            full |= over
+            full |= overfilled
         else:
             count += 1
     return count
 
 
-def test_callers_that_come_back_at_once_to_hosts_that_just_started_find_room(engine):
-    """All hosts were lost; they start again, and 500 callers come in half a second.
+def test_callers_that_return_at_once_to_restarted_hosts_find_capacity(engine):
+    """All hosts crashed; they restart, and 500 callers come in half a second.
 
-    No host knows what the others send.  On the cheapest paths they meet at the same
-    fast cards, are refused four times, and are sent away while two thirds of the
-    fleet's memory lies idle.
+    No host knows what the others send. On the cheapest paths the streams would meet at
+    the same fast accelerators, be refused four times, and be rejected while two thirds
+    of the fleet's memory is idle.
     """
     records = large_fleet(engine)
     assert refused(engine, records, BLIND_SPREAD, streams=500) <= 10
--- a/radishfield/routing/sizes_test.py
+++ b/radishfield/routing/sizes_test.py
@@ -1,4 +1,4 @@
-"""The decisions on fleets, models and routes of quite other sizes than today's."""
+"""Tests of routing decisions for fleets, models and routes of very different sizes."""
 
 from dataclasses import dataclass, field
 
@@ -29,15 +29,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Size:
-    """A fleet: its cards in each zone, and what its model and requests are like."""
+    """A fleet: its accelerators in each zone, its model and its requests."""
 
     name: str
     zones: int
-    cards: dict[str, int]
-    kinds: dict[str, Accelerator] = field(default_factory=lambda: CARDS)
+    count_by_kind: dict[str, int]
+    accelerator_by_kind: dict[str, Accelerator] = field(default_factory=lambda: CARDS)
     engine: dict = field(default_factory=dict)
     demand: Demand = Demand(774, 203)
-    least_admitted: int = 20
+    min_admitted: int = 20
 
 
 TWENTY_FOLD = {
@@ -54,36 +54,36 @@
     Size("three targets", 1, {"l40s": 3}, engine=SMALL_MODEL),
     Size("three hundred targets", 6, {"a100": 5, "l40s": 15, "l4": 30}),
     # The first target of a path takes 96 requests, however small they are.
-    Size("short prompts", 3, {"l40s": 8}, demand=Demand(30, 20), least_admitted=288),
-    Size("long prompts", 3, {"l40s": 8}, demand=Demand(6000, 500), least_admitted=10),
+    Size("short prompts", 3, {"l40s": 8}, demand=Demand(30, 20), min_admitted=288),
+    Size("long prompts", 3, {"l40s": 8}, demand=Demand(6000, 500), min_admitted=10),
 ]
 
 
 @pytest.mark.parametrize("size", SIZES, ids=lambda size: size.name)
 def test_a_fleet_of_any_size_is_laid_out_and_carries_requests(size):
-    """Each zone's cards together hold at least one copy of the model.
+    """Each zone's accelerators together hold at least one copy of the model.
 
-    All targets get layers within their memory, every zone has a path from the
-    first request to as many as its memory holds, and nothing moves without need.
+    All targets get layers within their memory, every zone has a path from the first
+    request to as many as its memory holds, and no target moves without need.
     """
     engine = make_engine(
-        accelerator_by_name=size.kinds, delay_ms_by_pair={}, **size.engine
+        accelerator_by_name=size.accelerator_by_kind, delay_ms_by_pair={}, **size.engine
     )
     empty = [
         make_target(f"{zone}-{kind}-{index}", f"z{zone}", kind)
         for zone in range(size.zones)
-        for kind, count in size.cards.items()
+        for kind, count in size.count_by_kind.items()
         for index in range(count)
     ]
     plan = plan_layout(engine, empty)
     assert len(plan) == len(empty)
     for item in plan:
-        card = size.kinds[item.target.accelerator]
-        assert len(item.span) * engine.layer_mb < card.memory_mb
+        accelerator = size.accelerator_by_kind[item.target.accelerator]
+        assert len(item.span) * engine.layer_mb < accelerator.memory_mb
     records = [replace(item.target, span=item.span) for item in plan]
     assert plan_move(engine, records) is None
     load, admitted = LoadTable(), 0
-    while admitted < size.least_admitted:
+    while admitted < size.min_admitted:
         zone = f"z{admitted % size.zones}"
         path = PathFinder(engine, load, zone).find(records, size.demand)
         assert path is not None and covers_once(path, engine.layers)
@@ -112,39 +112,39 @@
 @pytest.mark.parametrize("objective_s", [0.06, 0.5, 5.0])
 @pytest.mark.parametrize("gap_s", [0.05, 0.2, 2.0])
 @pytest.mark.parametrize("has_events", [False, True])
-def test_a_silent_stream_is_probed_then_asked_about_then_given_up(
+def test_a_silent_stream_is_probed_then_queried_then_abandoned(
     objective_s, gap_s, has_events
 ):
-    """Whatever callers want, each step comes before the next, and all in time.
+    """Whatever the route's times are, each step comes before the next, and in time.
 
     The targets are probed while the answer can still be on time, and the stream
-    goes on elsewhere before its caller leaves.
+    continues on another path before its caller leaves.
     """
     rule = route(objective_s, gap_s)
     allowed_s = gap_s if has_events else objective_s
-    seen = []
+    steps = []
     for tick in range(1, 3000):
         silent_s = tick * 0.01
         stream = StreamSilence(
             ("a",), silent_s, has_events, 0.0, allowed_s, rule.caller_patience_s, 0.2
         )
-        if targets_to_probe([stream]) and "probe" not in seen:
-            seen.append("probe")
+        if targets_to_probe([stream]) and "probe" not in steps:
+            steps.append("probe")
             assert silent_s <= 0.5 * allowed_s + 0.01
         match next_step(stream, asked_ago_s=9.0, may_resume=True):
-            case Ask() if "ask" not in seen:
-                seen.append("ask")
+            case Ask() if "ask" not in steps:
+                steps.append("ask")
             case GiveUp():
                 assert silent_s < rule.caller_patience_s
                 break
-    assert seen == ["probe", "ask"]
+    assert steps == ["probe", "ask"]
 
 
 @pytest.mark.parametrize("has_events", [False, True])
-def test_a_route_that_names_no_times_has_its_streams_left_in_peace(has_events):
-    """An operator leaves out how long an event may take.
+def test_streams_of_a_route_without_times_are_not_probed(has_events):
+    """An operator does not configure how long an event may take.
 
-    Taken for zero, the targets of every stream were probed without a pause.
+    If that counted as zero, the targets of every stream would be probed constantly.
     """
     allowed_s = route(0.0, 0.0).allowed_silence_s(has_events)
     for silent_s in (0.001, 0.05):
@@ -154,9 +154,9 @@
 
 
 @pytest.mark.parametrize("objective_s", [0.06, 0.5, 5.0])
-def test_nobody_waits_in_line_beyond_the_callers_patience(objective_s):
+def test_no_request_waits_beyond_the_caller_timeout(objective_s):
     rule = route(objective_s, 0.2)
-    line = AdmissionQueue()
-    entry = line.join(1, "w", 0.0, rule.caller_patience_s)
-    assert not line.has_expired(entry, 0.2 * rule.caller_patience_s)
-    assert line.has_expired(entry, 0.8 * rule.caller_patience_s)
+    queue = AdmissionQueue()
+    entry = queue.join(1, "w", 0.0, rule.caller_patience_s)
+    assert not queue.has_expired(entry, 0.2 * rule.caller_patience_s)
+    assert queue.has_expired(entry, 0.8 * rule.caller_patience_s)
--- a/radishfield/routing/small_test.py
+++ b/radishfield/routing/small_test.py
@@ -1,4 +1,4 @@
-"""Budgets, load, choices, silence, leaving and events: one decision each."""
+"""Tests of retry budgets, load, target choice, silence, leaving and event splitting."""
 
 import random
 
@@ -26,39 +26,39 @@
 from radishfield.routing.conftest import make_target
 
 
-def most_in_a_window(repeats, window_s=10.0):
-    """Return the most repeats that any span of the window's length holds."""
-    times = sorted(repeats)
+def max_retries_in_window(retries, window_s=10.0):
+    """Return the most retries in any span of the window's length."""
+    times = sorted(retries)
     return max(
         sum(start <= at < start + window_s for at in times) for start in times[::7]
     )
 
 
 @pytest.mark.parametrize("silent", [0, 8])
-def test_hosts_together_stay_within_the_allowance_while_all_fail(silent):
-    """A service fails every request, and nine hosts repeat what they can.
+def test_hosts_together_stay_within_the_retry_budget_while_all_fail(silent):
+    """A service fails every request, and nine hosts retry what they can.
 
-    Each hears the others once a second, or not at all; what they send together
-    in any window stays below the ratio of all first tries and the slack.
+    Each receives the others' counts once a second, or not at all. What they send
+    together in any window stays below the ratio of all first attempts plus the slack.
     """
     budgets = [RetryBudget(RetryAllowance(0.2, 10.0, 200.0)) for _ in range(9)]
-    told = [RetryUse()] * 9
-    repeats = []
+    reported = [RetryUse()] * 9
+    retries = []
     for tick in range(3000):
         now, index = tick * 0.01, tick % 9
         if tick % 100 == 0:
-            told = [budget.use(now) for budget in budgets]
+            reported = [budget.use(now) for budget in budgets]
         budgets[index].first_try(now)
-        others = [] if silent else told[:index] + told[index + 1 :]
+        others = [] if silent else reported[:index] + reported[index + 1 :]
         while budgets[index].take(now, 9, others):
-            repeats.append(now)
-    assert most_in_a_window(repeats) <= 0.2 * 1000 + 200
+            retries.append(now)
+    assert max_retries_in_window(retries) <= 0.2 * 1000 + 200
 
 
-def test_one_host_may_use_what_the_others_leave():
+def test_one_host_may_use_retries_that_the_others_leave():
     """A dead target breaks forty streams, all of one host.
 
-    Its even part of the slack is twenty; the other hosts use none of theirs.
+    The host's even part of the slack is twenty; the other hosts use none of theirs.
     """
     budget = RetryBudget(RetryAllowance(0.2, 10.0, 200.0))
     others = [RetryUse(45, 0)] * 8
@@ -67,10 +67,10 @@
 
 
 def test_a_repeat_that_never_arrived_is_not_spent():
-    """A zone is cut off, and streams that broke try targets they cannot reach.
+    """A zone is partitioned, and broken streams try targets that they cannot reach.
 
-    Spent on connections that never come about, the allowance is gone before the
-    targets that are left are tried, and the streams are cut.
+    If failed connections were charged, the retry budget would be used up before the
+    remaining targets are tried, and the streams would be aborted.
     """
     budget = RetryBudget(RetryAllowance(0.0, 10.0, 8.0))
     for _ in range(20):
@@ -79,13 +79,13 @@
     assert budget.take(0.0, hosts=1)
 
 
-def test_a_quiet_service_may_still_repeat():
+def test_a_service_with_little_traffic_may_still_retry():
     budget = RetryBudget(RetryAllowance(0.2, 10.0, 200.0))
     budget.first_try(0.0)
     assert budget.take(0.1, hosts=9)
 
 
-def test_work_told_by_others_counts_until_they_fall_silent():
+def test_work_reported_by_others_counts_until_they_fall_silent():
     load = LoadTable()
     load.started("t", 100.0, first=True)
     load.report_remote("host-2", {"t": TargetLoad(3, 300.0, 1)}, now=10.0)
@@ -96,7 +96,7 @@
     assert load.held("t") == TargetLoad()
 
 
-def test_a_newer_telling_replaces_the_older_one():
+def test_a_newer_report_replaces_the_older_one():
     load = LoadTable()
     load.report_remote("host-2", {"t": TargetLoad(3, 300.0, 1)}, now=10.0)
     load.report_remote("host-2", {}, now=10.3)
@@ -112,7 +112,7 @@
         max_size=12,
     )
 )
-def test_sums_are_those_of_the_last_tellings(statuses):
+def test_totals_are_those_of_the_last_reports(statuses):
     load, last = LoadTable(), {}
     for number, (host, requests_by_id) in enumerate(statuses):
         held = {t: TargetLoad(n, n * 10.0, n) for t, n in requests_by_id.items()}
@@ -127,7 +127,7 @@
     return choose_target(records, load, failures, zone, tried, random.Random(1))
 
 
-def test_the_own_zone_is_taken_while_it_has_room():
+def test_the_own_zone_is_chosen_while_it_has_free_capacity():
     records = [make_target("near", "a", slots=6), make_target("far", "b", slots=6)]
     load = LoadTable()
     assert choose(records, load, FailureRates()).id == "near"
@@ -136,7 +136,7 @@
     assert choose(records, load, FailureRates()).id == "far"
 
 
-def test_a_target_that_fails_is_left_to_itself_while_others_are_sound():
+def test_a_failing_target_is_avoided_while_others_are_healthy():
     """One of two targets answers every request with an error, at once.
 
     By load alone it is the idlest of all, so it would get most of the work.
@@ -149,7 +149,7 @@
     assert choose(records, LoadTable(), failures, tried={"good"}).id == "bad"
 
 
-def test_a_target_that_answers_again_is_taken_again():
+def test_a_target_that_answers_again_is_chosen_again():
     records = [make_target("once-bad", "a", slots=6), make_target("far", "b", slots=6)]
     failures = FailureRates()
     for _ in range(4):
@@ -159,7 +159,7 @@
     assert choose(records, LoadTable(), failures).id == "once-bad"
 
 
-def test_no_target_twice():
+def test_no_target_is_chosen_twice():
     record = make_target("only")
     assert choose([record], LoadTable(), FailureRates(), tried={"only"}) is None
 
@@ -170,11 +170,11 @@
     return next_step(stream, asked_ago_s, may_resume)
 
 
-def test_a_stream_that_flows_is_left_alone():
+def test_a_stream_with_recent_events_needs_no_action():
     assert step(0.1, True, 9.0, True) == Wait()
 
 
-def test_a_silent_stream_is_asked_about_before_it_is_given_up():
+def test_a_silent_stream_is_queried_before_it_is_abandoned():
     assert step(0.4, True, 9.0, True) == Ask()
     assert step(0.2, False, 9.0, True) == Wait()
     assert step(0.4, False, 9.0, True) == Ask()
@@ -182,51 +182,51 @@
     assert step(1.4, True, 0.1, True) == GiveUp()
 
 
-def test_a_stream_that_may_not_resume_is_never_given_up():
+def test_a_stream_that_may_not_resume_is_never_abandoned():
     assert step(9.0, True, 0.1, False) == Wait()
 
 
-def quiet(target_ids, silent_s, usual_gap_s=0.03, has_events=True):
+def silent_stream(target_ids, silent_s, usual_gap_s=0.03, has_events=True):
     return StreamSilence(
         tuple(target_ids), silent_s, has_events, usual_gap_s, 0.2, 2.0, 0.2
     )
 
 
-def test_nothing_is_probed_while_streams_flow():
-    flowing = [quiet("abcd", 0.01 * number) for number in range(6)]
+def test_nothing_is_probed_while_streams_have_events():
+    flowing = [silent_stream("abcd", 0.01 * number) for number in range(6)]
     assert targets_to_probe(flowing) == set()
 
 
 def test_only_targets_that_no_other_stream_just_passed_are_probed():
     """Target c dies under two of four streams.
 
-    Both fall silent; a and b still carry the others' events, so only what the
-    silent ones have for themselves is asked.
+    Both fall silent. Targets a and b still carry events of the others, so only the
+    targets that no other stream uses are probed.
     """
     streams = [
-        quiet("acd", 0.08),
-        quiet("bcd", 0.09),
-        quiet("abe", 0.02),
-        quiet("abf", 0.03),
+        silent_stream("acd", 0.08),
+        silent_stream("bcd", 0.09),
+        silent_stream("abe", 0.02),
+        silent_stream("abf", 0.03),
     ]
     assert targets_to_probe(streams) == {"c", "d"}
 
 
 def test_a_slow_path_is_not_taken_for_a_dead_one():
-    assert targets_to_probe([quiet("ab", 0.15, usual_gap_s=0.1)]) == set()
-    assert targets_to_probe([quiet("ab", 0.21, usual_gap_s=0.1)]) == {"a", "b"}
+    assert targets_to_probe([silent_stream("ab", 0.15, usual_gap_s=0.1)]) == set()
+    assert targets_to_probe([silent_stream("ab", 0.21, usual_gap_s=0.1)]) == {"a", "b"}
 
 
 def test_a_stream_that_was_just_sent_proves_nothing_of_its_targets():
-    sent = quiet("ab", 0.01, has_events=False)
-    assert targets_to_probe([quiet("ab", 0.08), sent]) == {"a", "b"}
+    sent = silent_stream("ab", 0.01, has_events=False)
+    assert targets_to_probe([silent_stream("ab", 0.08), sent]) == {"a", "b"}
 
 
 def test_a_leaving_host_takes_what_still_ends_in_its_grace():
-    """A caller's kept connection brings a long stream late in the grace.
+    """A caller's kept connection brings a long stream late in the grace period.
 
-    Taken, it would be cut off with the process; refused, the caller asks
-    another host at once.
+    If it were accepted, it would be aborted with the process. If it is refused, the
+    caller tries another host at once.
     """
     assert takes_work(None, 8.0, 20.0)
     assert takes_work(2.0, 8.0, 20.0)
@@ -239,7 +239,7 @@
     return b"id: %d\ndata: x\n\n" % number
 
 
-def test_a_torn_event_is_kept_back():
+def test_an_incomplete_event_is_held_back():
     splitter = EventSplitter()
     assert splitter.feed(event(1) + b"id: 2\nda") == event(1)
     assert splitter.torn
@@ -248,26 +248,26 @@
 
 
 @given(st.lists(st.integers(0, 99), max_size=8), st.randoms(use_true_random=False))
-def test_cutting_a_stream_anywhere_loses_and_doubles_nothing(numbers, chance):
-    whole = b"".join(event(number) for number in numbers)
-    splitter, passed = EventSplitter(), b""
+def test_splitting_a_stream_anywhere_loses_and_repeats_nothing(numbers, rng):
+    complete_stream = b"".join(event(number) for number in numbers)
+    splitter, output = EventSplitter(), b""
     at = 0
-    while at < len(whole):
-        size = chance.randint(1, 9)
-        passed += splitter.feed(whole[at : at + size])
+    while at < len(complete_stream):
+        size = rng.randint(1, 9)
+        output += splitter.feed(complete_stream[at : at + size])
         at += size
-    assert passed == whole
-    assert event_ids(passed) == numbers
+    assert output == complete_stream
+    assert event_ids(output) == numbers
 
 
-def test_next_look_comes_when_the_first_stream_could_be_too_silent():
-    # Looking more often finds nothing; later, a pause that is still on time is lost.
-    flowing = quiet("a", silent_s=0.01)
-    due_s = flowing.patience_s - flowing.silent_s
+def test_next_check_is_when_the_first_stream_could_be_too_silent():
+    # An earlier check finds nothing; a later one misses a pause that is still on time.
+    flowing = silent_stream("a", silent_s=0.01)
+    due_s = flowing.probe_after_s - flowing.silent_s
     assert next_look_s([flowing], 0.03, 0.1) == pytest.approx(due_s)
-    overdue = quiet("b", silent_s=1.0)
+    overdue = silent_stream("b", silent_s=1.0)
     assert next_look_s([flowing, overdue], 0.03, 0.1) == 0.03
 
 
-def test_host_without_streams_looks_at_the_longest_pause():
+def test_host_without_streams_checks_at_the_longest_interval():
     assert next_look_s([], 0.03, 0.1) == 0.1
