--- a/radishfield/routing/_admission_queue.py
+++ b/radishfield/routing/_admission_queue.py
@@ -48,8 +48,9 @@
 """Freed slots, and time, below which there is no rate to forecast from."""
 
 MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S = 0.5, 5.0
-"""A caller that returns sooner finds the same queue. Most callers do not wait longer
-than a third of the time they have left."""
+"""Bounds of the time after which a rejected caller returns. One that returns sooner
+finds the same queue. Most callers do not wait longer than a third of the time they have
+left."""
 
 
 class QueueEntry(msgspec.Struct, frozen=True):
--- a/radishfield/routing/_links.py
+++ b/radishfield/routing/_links.py
@@ -8,7 +8,7 @@
 causes.
 
 A link is a queue. When many targets become unreachable at once, every path crosses
-zones, and what is sent beyond the link's rate stays queued until it is through, still
+zones, and what exceeds the link's rate stays queued until it is sent, still
 wanted or not. Each stream waits behind prompts whose callers have left and is abandoned
 in its turn, so no stream is served for as long as prompts are sent. So a link that is
 full or has a backlog is closed to further prompts, whether or not there is another
--- a/radishfield/routing/_silence.py
+++ b/radishfield/routing/_silence.py
@@ -96,8 +96,8 @@
     passed are probed, so that this costs next to nothing while all targets answer.
     """
     streams = list(streams)
-    quiet = [item for item in streams if item.silent_s >= item.probe_after_s]
-    if not quiet:
+    silent_streams = [item for item in streams if item.silent_s >= item.probe_after_s]
+    if not silent_streams:
         return set()
     event_ago_s_by_id: dict[str, float] = {}
     for item in streams:
@@ -107,7 +107,7 @@
                 event_ago_s_by_id[target_id] = min(known, item.silent_s)
     return {
         target_id
-        for item in quiet
+        for item in silent_streams
         for target_id in item.target_ids
         if event_ago_s_by_id.get(target_id, item.silent_s)
         >= ALIVE_SHARE * item.silent_s
@@ -144,19 +144,19 @@
 Step = Wait | Ask | GiveUp
 
 
-def next_step(stream: StreamSilence, asked_ago_s: float, may_resume: bool) -> Step:
+def next_step(stream: StreamSilence, queried_ago_s: float, may_resume: bool) -> Step:
     """Return what to do about a stream.
 
     Parameters
     ----------
-    asked_ago_s : float
+    queried_ago_s : float
         Seconds since its first target was last queried, for any stream.
     may_resume : bool
         Another attempt is allowed.
     """
     if stream.silent_s >= ABANDON_SHARE * stream.caller_patience_s and may_resume:
         return GiveUp()
-    queried_recently = asked_ago_s < stream.report_lag_s + QUERY_AGAIN_S
+    queried_recently = queried_ago_s < stream.report_lag_s + QUERY_AGAIN_S
     if stream.silent_s >= stream.query_after_s and not queried_recently:
         return Ask()
     return Wait()
--- a/radishfield/routing/paces_test.py
+++ b/radishfield/routing/paces_test.py
@@ -1,4 +1,4 @@
-"""Tests of how many hosts that each see few of its streams find a slow target."""
+"""Tests of finding a slow target by many hosts that each see few of its streams."""
 
 import random
 
--- a/radishfield/routing/paths_test.py
+++ b/radishfield/routing/paths_test.py
@@ -79,9 +79,9 @@
     """
     records = fleet(engine)
     for dead in records:
-        left = [record for record in records if record.id != dead.id]
+        remaining = [record for record in records if record.id != dead.id]
         for zone in "abc":
-            path = PathFinder(engine, LoadTable(), zone).find(left, DEMAND)
+            path = PathFinder(engine, LoadTable(), zone).find(remaining, DEMAND)
             assert covers_once(path, engine.layers), dead.id
 
 
@@ -151,8 +151,8 @@
     finder = PathFinder(engine, LoadTable(), "a")
     path = finder.find(records, DEMAND)
     for dead in path[1:]:
-        left = [record for record in records if record.id != dead.target_id]
-        moved = finder.find(left, DEMAND, path[0])
+        remaining = [record for record in records if record.id != dead.target_id]
+        moved = finder.find(remaining, DEMAND, path[0])
         assert moved[0] == path[0]
         assert covers_once(moved, engine.layers)
 
--- a/radishfield/routing/sizes_test.py
+++ b/radishfield/routing/sizes_test.py
@@ -131,7 +131,7 @@
         if targets_to_probe([stream]) and "probe" not in steps:
             steps.append("probe")
             assert silent_s <= 0.5 * allowed_s + 0.01
-        match next_step(stream, asked_ago_s=9.0, may_resume=True):
+        match next_step(stream, queried_ago_s=9.0, may_resume=True):
             case Ask() if "ask" not in steps:
                 steps.append("ask")
             case GiveUp():
--- a/radishfield/routing/small_test.py
+++ b/radishfield/routing/small_test.py
@@ -58,7 +58,7 @@
 def test_one_host_may_use_retries_that_the_others_leave():
     """A dead target breaks forty streams, all of one host.
 
-    The host's even part of the slack is twenty; the other hosts use none of theirs.
+    The host's equal share of the slack is twenty; the other hosts use none of theirs.
     """
     budget = RetryBudget(RetryAllowance(0.2, 10.0, 200.0))
     others = [RetryUse(45, 0)] * 8
@@ -164,10 +164,10 @@
     assert choose([record], LoadTable(), FailureRates(), tried={"only"}) is None
 
 
-def step(silent_s, has_events, asked_ago_s, may_resume, allowed_s=None):
+def step(silent_s, has_events, queried_ago_s, may_resume, allowed_s=None):
     allowed_s = allowed_s or (0.2 if has_events else 0.5)
     stream = StreamSilence((), silent_s, has_events, 0.03, allowed_s, 2.0, 0.2)
-    return next_step(stream, asked_ago_s, may_resume)
+    return next_step(stream, queried_ago_s, may_resume)
 
 
 def test_a_stream_with_recent_events_needs_no_action():
@@ -193,8 +193,8 @@
 
 
 def test_nothing_is_probed_while_streams_have_events():
-    flowing = [silent_stream("abcd", 0.01 * number) for number in range(6)]
-    assert targets_to_probe(flowing) == set()
+    active = [silent_stream("abcd", 0.01 * number) for number in range(6)]
+    assert targets_to_probe(active) == set()
 
 
 def test_only_targets_that_no_other_stream_just_passed_are_probed():
@@ -223,7 +223,7 @@
 
 
 def test_a_leaving_host_takes_what_still_ends_in_its_grace():
-    """A caller's kept connection brings a long stream late in the grace period.
+    """A caller's keep-alive connection brings a long stream late in the grace period.
 
     If it were accepted, it would be aborted with the process. If it is refused, the
     caller tries another host at once.
@@ -262,11 +262,11 @@
 
 def test_next_check_is_when_the_first_stream_could_be_too_silent():
     # An earlier check finds nothing; a later one misses a pause that is still on time.
-    flowing = silent_stream("a", silent_s=0.01)
-    due_s = flowing.probe_after_s - flowing.silent_s
-    assert next_look_s([flowing], 0.03, 0.1) == pytest.approx(due_s)
+    active = silent_stream("a", silent_s=0.01)
+    due_s = active.probe_after_s - active.silent_s
+    assert next_look_s([active], 0.03, 0.1) == pytest.approx(due_s)
     overdue = silent_stream("b", silent_s=1.0)
-    assert next_look_s([flowing, overdue], 0.03, 0.1) == 0.03
+    assert next_look_s([active, overdue], 0.03, 0.1) == 0.03
 
 
 def test_host_without_streams_checks_at_the_longest_interval():
