--- a/radishfield/crashes/__init__.py
+++ b/radishfield/crashes/__init__.py
@@ -1,16 +1,16 @@
-"""Requests that end the targets which run them, for the entry host and the router.
+"""Refusal of requests that crash their targets, for the entry host and the router.
 
-What is known of them is a `CrashBook`, a plain value.  A `CrashGuard` keeps one up to
-date at a host, and stops the runs of a request that is refused.
+A `CrashBook` is a plain value that records such requests.  A `CrashGuard` keeps the
+book of a host up to date and stops the runs of a request that is refused.
 """
 
 from radishfield.crashes._book import (
     OUTLIVED_S,
-    PROVEN_ENDS,
+    REFUSAL_THRESHOLD,
     REFUSED_S,
     CrashBook,
     CrashReport,
-    TargetEnd,
+    TargetCrash,
     ToldEnd,
     Verdict,
 )
@@ -20,12 +20,12 @@
 
 __all__ = [
     "OUTLIVED_S",
-    "PROVEN_ENDS",
+    "REFUSAL_THRESHOLD",
     "REFUSED_S",
     "CrashBook",
     "CrashGuard",
     "CrashReport",
-    "TargetEnd",
+    "TargetCrash",
     "ToldEnd",
     "Verdict",
     "listens",
--- a/radishfield/crashes/_book.py
+++ b/radishfield/crashes/_book.py
@@ -1,61 +1,62 @@
-"""Which requests end the targets that run them, by what all hosts together saw.
-
-Load pattern: one request ends each target that begins to run it, and its caller sends
-it again at any host.  A host that counts alone takes each end for a failure of the
-target and sends the request on; so do the next attempt and the next host, until no
-target is left.  Hosts therefore tell each other which targets ended under which
-request, and refuse it once three have.
-
-Two mistakes would make others pay.  What ran beside such a request loses its target as
-well: its ends are all ends of the other one too, so they prove nothing.  And a request
-that many callers share is in flight at every target that ends for another reason:
-where it outlives its start anywhere, it is not what ends them.
+"""Finds the requests that crash their targets, from the reports of all hosts.
+
+When a request crashes each target that starts to run it, its caller resends it to any
+host.  A host that counts alone takes each crash for a failure of the target and sends
+the request to another one; so do the next attempt and the next host, until no target
+remains.  Hosts therefore report to each other which targets crashed under which
+request, and refuse the request once three have.
+
+Two kinds of harmless requests must not be refused.  A request that ran beside a
+crashing one loses its targets as well: all its crashes are also crashes of the other
+request, so they prove nothing.  A request that many callers share is in flight at every
+target that crashes for another reason: if it outlives its start anywhere, it is not
+the cause.
 """
 
 import zlib
 
 import msgspec
 
-PROVEN_ENDS = 3
-"""Targets that ended under a request, after which it is refused."""
+REFUSAL_THRESHOLD = 3
+"""Number of targets that crashed under a request, after which it is refused."""
 
-MOST_TRIALS = 5
-"""Ends that two requests may share to the last one before both are refused: mostly
-one of them is sent elsewhere before, which tells them apart."""
+MAX_SHARED_CRASHES = 5
+"""Number of crashes at which two requests that share all of them are both refused.
+Usually one of the two is sent to another target before, which tells them apart."""
 
 SETTLE_S = 0.3
-"""Time in which all hosts have told which requests a target had when it ended."""
+"""Time within which all hosts report the requests that a crashed target was running."""
 
 OUTLIVED_S = 1.0
-"""Time after its first event in which a request ends its target, if it does: those
-seen took a tenth of it."""
+"""Time after its first event within which a request crashes its target, if it does.
+Observed crashes took a tenth of it."""
 
 IMMUNE_S = 10.0
-"""Time for which ends don't count under a request that has outlived its start."""
+"""Time for which crashes are not counted after a request has outlived its start."""
 
 SUSPECTED_S = 60.0
-"""Time after which ends are forgotten that prove nothing."""
+"""Time after which crashes that prove nothing are forgotten."""
 
 REFUSED_S = 600.0
-"""Time after its last end for which a request is refused.  Targets may have been
-mended by then; if not, three more show it."""
+"""Time after its last crash for which a request is refused.  Targets may be fixed by
+then; if not, three more crashes show it."""
 
-MOST_SUSPECTS = 256
-MOST_SURVIVORS = 4096
+MAX_SUSPECTS = 256
+MAX_SURVIVORS = 4096
 """Requests of the last `IMMUNE_S` seconds at a busy host, some 100 bytes each."""
-MOST_ENDS = 8
-"""Ends that are kept of one request."""
+MAX_CRASHES_PER_REQUEST = 8
+"""Maximum number of crashes that are kept for one request."""
 
 
-class TargetEnd(msgspec.Struct, frozen=True):
-    """A target's end under a request.
+class TargetCrash(msgspec.Struct, frozen=True):
+    """A crash of a target under a request.
 
     Attributes
     ----------
     told_by : str
-        Host that sent the request there and found the target ended.
+        Host that sent the request to the target and detected the crash.
     at : float
-        When that was, in seconds of this host's clock.
+        Time of the detection, in seconds of this host's clock.
     """
 
     target_id: str
@@ -65,12 +66,12 @@
 
     @property
     def target(self) -> tuple[str, int]:
-        """Return what tells the start of the target that ended from every other."""
+        """Return the key that identifies this start of the target."""
         return (self.target_id, self.started_ms)
 
 
 class ToldEnd(msgspec.Struct, array_like=True):
-    """A target's end, as a host tells it ``age_s`` after it."""
+    """A crash of a target, as a host reports it ``age_s`` seconds later."""
 
     target_id: str
     started_ms: int
@@ -79,12 +80,12 @@
 
 
 class CrashReport(msgspec.Struct, array_like=True):
-    """What a host knows of one request.
+    """The crashes and survival of one request that a host has recorded.
 
     Attributes
     ----------
     survived_age_s : float
-        Seconds since the request outlived its start somewhere; negative where it
+        Seconds since the request outlived its start at any target; negative if it
         has not.
     """
 
@@ -94,172 +95,178 @@
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """Why a request is refused, and until when."""
+    """The crashes for which a request is refused, and until when."""
 
-    ends: tuple[TargetEnd, ...]
+    ends: tuple[TargetCrash, ...]
     until: float
 
 
 class CrashBook(msgspec.Struct):
-    """The ends of targets under each request that is suspected, by its digest."""
+    """The target crashes under each suspected request, by the request's digest."""
 
-    _ends_by_digest: dict[str, dict[tuple[str, int], TargetEnd]] = msgspec.field(
+    _crashes_by_digest: dict[str, dict[tuple[str, int], TargetCrash]] = msgspec.field(
         default_factory=dict
     )
     _survived_at_by_digest: dict[str, float] = msgspec.field(default_factory=dict)
     _checksum: int | None = 0
-    """None after a change: it is asked for with each status that is heard."""
+    """Cached because it is read for each status received; None after a change."""
 
     def __len__(self) -> int:
-        return len(self._ends_by_digest)
+        return len(self._crashes_by_digest)
 
-    def add_end(self, digest: str, end: TargetEnd) -> bool:
-        """Note that a target ended under a request; return whether it is news."""
+    def add_crash(self, digest: str, crash: TargetCrash) -> bool:
+        """Record that a target crashed under a request; return whether this is new."""
         survived_at = self._survived_at_by_digest.get(digest)
-        if survived_at is not None and end.at < survived_at + IMMUNE_S:
+        if survived_at is not None and crash.at < survived_at + IMMUNE_S:
             return False
-        ends = self._ends_by_digest.get(digest)
-        if ends is None:
-            self._make_room()
-            ends = self._ends_by_digest[digest] = {}
-        if end.target in ends or len(ends) >= MOST_ENDS:
+        crashes = self._crashes_by_digest.get(digest)
+        if crashes is None:
+            self._evict_if_full()
+            crashes = self._crashes_by_digest[digest] = {}
+        if crash.target in crashes or len(crashes) >= MAX_CRASHES_PER_REQUEST:
             return False
-        ends[end.target] = end
+        crashes[crash.target] = crash
         self._checksum = None
         return True
 
-    def outlived(self, digest: str, at: float) -> bool:
-        """Note that a request outlived its start; return whether it was suspected."""
+    def add_survival(self, digest: str, at: float) -> bool:
+        """Record that a request outlived its start; return whether it was suspected."""
         before = self._survived_at_by_digest.pop(digest, at)
         self._survived_at_by_digest[digest] = at = max(at, before)
-        if len(self._survived_at_by_digest) > MOST_SURVIVORS:
+        if len(self._survived_at_by_digest) > MAX_SURVIVORS:
             self._survived_at_by_digest.pop(next(iter(self._survived_at_by_digest)))
-        ends = self._ends_by_digest.pop(digest, {})
-        self._checksum = None if ends else self._checksum
-        later = {key: end for key, end in ends.items() if end.at >= at + IMMUNE_S}
+        crashes = self._crashes_by_digest.pop(digest, {})
+        self._checksum = None if crashes else self._checksum
+        later = {
+            key: crash for key, crash in crashes.items() if crash.at >= at + IMMUNE_S
+        }
         if later:
-            self._ends_by_digest[digest] = later
-        return len(later) < len(ends)
+            self._crashes_by_digest[digest] = later
+        return len(later) < len(crashes)
 
     def verdict(self, digest: str, now: float) -> Verdict | None:
-        """Return why a request is refused; None where it is not."""
-        if len(self._ends_by_digest.get(digest, ())) < PROVEN_ENDS:
+        """Return why a request is refused; None if it is not."""
+        if len(self._crashes_by_digest.get(digest, ())) < REFUSAL_THRESHOLD:
             return None
-        ends = self._proof_by_digest(now).get(digest)
-        if ends is None:
+        crashes = self._proof_by_digest(now).get(digest)
+        if crashes is None:
             return None
-        until = max(end.at for end in ends) + REFUSED_S
-        return Verdict(ends, until) if now < until else None
+        until = max(crash.at for crash in crashes) + REFUSED_S
+        return Verdict(crashes, until) if now < until else None
 
-    def refused(self, now: float) -> dict[str, Verdict]:
+    def verdicts(self, now: float) -> dict[str, Verdict]:
         """Return why requests are refused, by digest."""
         verdict_by_digest = {
             digest: self.verdict(digest, now) for digest in self._proof_by_digest(now)
         }
         return {each: verdict for each, verdict in verdict_by_digest.items() if verdict}
 
-    def _proof_by_digest(self, now: float) -> dict[str, tuple[TargetEnd, ...]]:
-        """Return the ends that prove something, by the digest of their request.
+    def _proof_by_digest(self, now: float) -> dict[str, tuple[TargetCrash, ...]]:
+        """Return the crashes that count against each request, by its digest.
 
-        Whoever has the most ends goes first, and explains those that others share
-        with it.
+        The request with the most crashes is checked first, and accounts for those
+        that other requests share with it.
         """
         suspects = [
-            (digest, ends)
-            for digest, ends in self._ends_by_digest.items()
-            if len(ends) >= PROVEN_ENDS
+            (digest, crashes)
+            for digest, crashes in self._crashes_by_digest.items()
+            if len(crashes) >= REFUSAL_THRESHOLD
         ]
         suspects.sort(key=lambda item: -len(item[1]))
-        proof_by_digest: dict[str, tuple[TargetEnd, ...]] = {}
-        for digest, ends in suspects:
-            if _is_undecided(ends, suspects):
+        proof_by_digest: dict[str, tuple[TargetCrash, ...]] = {}
+        for digest, crashes in suspects:
+            if _is_undecided(crashes, suspects):
                 continue
             explained = set().union(
                 *(
-                    self._ends_by_digest[other].keys()
+                    self._crashes_by_digest[other].keys()
                     for other in proof_by_digest
-                    if len(self._ends_by_digest[other]) > len(ends)
+                    if len(self._crashes_by_digest[other]) > len(crashes)
                 )
             )
             proof = tuple(
-                end
-                for key, end in ends.items()
-                if key not in explained and end.at + SETTLE_S <= now
+                crash
+                for key, crash in crashes.items()
+                if key not in explained and crash.at + SETTLE_S <= now
             )
-            if len(proof) >= PROVEN_ENDS:
+            if len(proof) >= REFUSAL_THRESHOLD:
                 proof_by_digest[digest] = proof
         return proof_by_digest
 
     def settles_in_s(self, digest: str, now: float) -> float:
-        """Return for how long it can't be told yet whether a request is refused."""
-        ends = self._ends_by_digest.get(digest, {})
-        if len(ends) < PROVEN_ENDS or self.verdict(digest, now) is not None:
+        """Return the time until it is decided whether a request is refused."""
+        crashes = self._crashes_by_digest.get(digest, {})
+        if len(crashes) < REFUSAL_THRESHOLD or self.verdict(digest, now) is not None:
             return 0.0
-        newest_at = max(end.at for end in ends.values())
+        newest_at = max(crash.at for crash in crashes.values())
         return max(0.0, newest_at + SETTLE_S - now)
 
     def next_settled_in_s(self, now: float) -> float | None:
-        """Return after how long another request may be refused; None if none may."""
+        """Return the time until another request may be refused; None if none may."""
         waits_s = [
             self.settles_in_s(digest, now)
-            for digest, ends in self._ends_by_digest.items()
-            if len(ends) >= PROVEN_ENDS
+            for digest, crashes in self._crashes_by_digest.items()
+            if len(crashes) >= REFUSAL_THRESHOLD
         ]
         return min((wait_s for wait_s in waits_s if wait_s > 0), default=None)
 
     def report(self, digest: str, now: float) -> CrashReport:
-        """Return what this host knows of a request."""
+        """Return the crashes and survival that are recorded for a request."""
         survived_at = self._survived_at_by_digest.get(digest)
-        ends = self._ends_by_digest.get(digest, {}).values()
+        crashes = self._crashes_by_digest.get(digest, {}).values()
         return CrashReport(
             digest,
             [
-                ToldEnd(end.target_id, end.started_ms, end.told_by, now - end.at)
-                for end in ends
+                ToldEnd(
+                    crash.target_id, crash.started_ms, crash.told_by, now - crash.at
+                )
+                for crash in crashes
             ],
             -1.0 if survived_at is None else now - survived_at,
         )
 
     def merge(self, report: CrashReport, now: float) -> bool:
-        """Take what another host knows; return whether it was news."""
+        """Merge a report from another host; return whether it was new."""
         digest = report.digest
-        news = False
+        changed = False
         if report.survived_age_s >= 0:
-            news = self.outlived(digest, now - report.survived_age_s)
-        for told in report.ends:
-            at = now - max(0.0, told.age_s)
-            end = TargetEnd(told.target_id, told.started_ms, told.told_by, at)
-            news |= self.add_end(digest, end)
-        return news
+            changed = self.add_survival(digest, now - report.survived_age_s)
+        for entry in report.ends:
+            at = now - max(0.0, entry.age_s)
+            crash = TargetCrash(entry.target_id, entry.started_ms, entry.told_by, at)
+            changed |= self.add_crash(digest, crash)
+        return changed
 
     def contradicts(self, report: CrashReport) -> bool:
-        """Return whether ends are told of a request that is known to outlive them."""
+        """Return whether a report has crashes but lacks the survival recorded here."""
         survived = report.digest in self._survived_at_by_digest
         return survived and bool(report.ends) and report.survived_age_s < 0
 
     def lasting(self) -> list[str]:
-        """Return the digests that hosts tell each other again, the gravest first."""
+        """Return the digests that hosts report repeatedly, most crashes first."""
         digests = [
-            digest for digest, ends in self._ends_by_digest.items() if len(ends) > 1
+            digest
+            for digest, crashes in self._crashes_by_digest.items()
+            if len(crashes) > 1
         ]
-        return sorted(digests, key=lambda each: -len(self._ends_by_digest[each]))
+        return sorted(digests, key=lambda each: -len(self._crashes_by_digest[each]))
 
     def checksum(self) -> int:
-        """Return a number that hosts share which know the same to tell again."""
+        """Return a checksum, for comparison, of what hosts report repeatedly."""
         if self._checksum is None:
             self._checksum = 0
             for digest in self.lasting():
-                for target_id, started_ms in self._ends_by_digest[digest]:
+                for target_id, started_ms in self._crashes_by_digest[digest]:
                     text = f"{digest} {target_id} {started_ms}"
                     self._checksum ^= zlib.crc32(text.encode())
         return self._checksum
 
     def forget(self, now: float) -> None:
-        """Drop what is too old to count."""
-        for digest, ends in list(self._ends_by_digest.items()):
-            lasts_s = REFUSED_S if len(ends) >= PROVEN_ENDS else SUSPECTED_S
-            if now - max(end.at for end in ends.values()) >= lasts_s:
-                del self._ends_by_digest[digest]
+        """Drop the records that are too old to count."""
+        for digest, crashes in list(self._crashes_by_digest.items()):
+            lifetime_s = REFUSED_S if len(crashes) >= REFUSAL_THRESHOLD else SUSPECTED_S
+            if now - max(crash.at for crash in crashes.values()) >= lifetime_s:
+                del self._crashes_by_digest[digest]
                 self._checksum = None
         self._survived_at_by_digest = {
             digest: at
@@ -267,24 +274,26 @@
             if now - at < SUSPECTED_S
         }
 
-    def _make_room(self) -> None:
-        """Drop the least suspected of too many, the oldest first.
+    def _evict_if_full(self) -> None:
+        """Drop the request with the fewest crashes, the oldest first, if full.
 
-        A caller that varies its body makes a new suspect of each attempt.
+        A caller that varies its body adds a suspect with each attempt.
         """
-        if len(self._ends_by_digest) >= MOST_SUSPECTS:
-            least = min(self._ends_by_digest.items(), key=lambda item: len(item[1]))
-            del self._ends_by_digest[least[0]]
+        if len(self._crashes_by_digest) >= MAX_SUSPECTS:
+            least_suspected = min(
+                self._crashes_by_digest.items(), key=lambda item: len(item[1])
+            )
+            del self._crashes_by_digest[least_suspected[0]]
             self._checksum = None
 
 
-def _is_undecided(ends, suspects) -> bool:
-    """Return whether another request was at each of the targets that ended.
+def _is_undecided(crashes, suspects) -> bool:
+    """Return whether another request ran at each of the targets that crashed.
 
-    Requests that share all their ends are told apart by the next one, mostly.
+    Requests that share all their crashes are usually told apart by the next crash.
     """
-    if len(ends) >= MOST_TRIALS:
+    if len(crashes) >= MAX_SHARED_CRASHES:
         return False
     return any(
-        other is not ends and ends.keys() <= other.keys() for _, other in suspects
+        other is not crashes and crashes.keys() <= other.keys() for _, other in suspects
     )
--- a/radishfield/crashes/_digest.py
+++ b/radishfield/crashes/_digest.py
@@ -1,20 +1,20 @@
-"""What tells a request from others when it comes again under another id."""
+"""Computes a digest that identifies a request when it is resent under another id."""
 
 import hashlib
 from collections.abc import Iterable
 
 DIGEST_BYTES = 12
-"""A million requests share a digest of this length once in some 10^17 cases."""
+"""Two of a million requests share a digest of this length in 1 of some 10^17 cases."""
 LENGTH_BYTES = 8
 
 
 def request_digest(parts: Iterable[bytes]) -> str:
-    """Return the digest of what stays the same when a request is repeated.
+    """Return the digest of the parts of a request that are the same in each retry.
 
     Parameters
     ----------
     parts : iterable of bytes
-        Where it goes, who calls, and its body, always in the same order.
+        Destination, caller and body of the request, always in the same order.
 
     Returns
     -------
--- a/radishfield/crashes/_guard.py
+++ b/radishfield/crashes/_guard.py
@@ -1,4 +1,4 @@
-"""Keeps a host's `CrashBook`, and stops what is refused by it."""
+"""Maintains the `CrashBook` of a host and stops the runs of refused requests."""
 
 from collections.abc import Callable, Iterable, Iterator
 from contextlib import contextmanager
@@ -6,23 +6,23 @@
 import trio
 
 from radishfield.core import Clock, Fault, Outcome, ResultCode
-from radishfield.crashes._book import CrashBook, CrashReport, TargetEnd, Verdict
+from radishfield.crashes._book import CrashBook, CrashReport, TargetCrash, Verdict
 from radishfield.telemetry import log_event
 
-FORGET_LOOK_S = 1.0
+EXPIRY_CHECK_S = 1.0
 
 
 class CrashGuard:
-    """What a host knows of requests under which targets ended, and does about it.
+    """Records which requests crash targets, and refuses these requests at one host.
 
     Attributes
     ----------
     book : CrashBook
-        What all hosts together know, as far as this one has heard.
+        Crashes seen by all hosts, as far as their reports have reached this host.
     tell : callable
-        Tells the other hosts what is known of the request with a digest.
+        Reports the state of the request with a digest to the other hosts.
     counted : int
-        Ends that this host saw itself.
+        Number of crashes that this host detected itself.
     """
 
     __slots__ = (
@@ -49,31 +49,31 @@
     async def watch(
         self, on_refused: Callable[[str, Verdict], None] = lambda digest, verdict: None
     ) -> None:
-        """Look which requests are refused, until cancelled.
+        """Check which requests are refused, until cancelled.
 
         Parameters
         ----------
         on_refused : callable
-            Gets the digest of each one, and why, when it begins to be refused.
+            Called with digest and verdict of a request when its refusal starts.
         """
         while True:
             changed = self._changed
             self.book.forget(self._clock.now())
             self._look(on_refused)
-            pause_s = self.book.next_settled_in_s(self._clock.now()) or FORGET_LOOK_S
+            pause_s = self.book.next_settled_in_s(self._clock.now()) or EXPIRY_CHECK_S
             with trio.move_on_after(pause_s):
                 await changed.wait()
 
     def _look(self, on_refused: Callable[[str, Verdict], None]) -> None:
         now = self._clock.now()
-        verdict_by_digest = self.book.refused(now)
+        verdict_by_digest = self.book.verdicts(now)
         refused = set(verdict_by_digest)
         for digest in refused - self._refused:
             verdict = verdict_by_digest[digest]
             log_event(
                 "request.blocked",
                 digest=digest,
-                ends=ends_words(verdict, now),
+                ends=format_crashes(verdict, now),
                 until_s=round(verdict.until - now),
             )
             for stop in list(self._stops_by_digest.get(digest, ())):
@@ -85,7 +85,7 @@
 
     @contextmanager
     def running(self, digest: str, stop: Callable[[], None]) -> Iterator[None]:
-        """Have a run, or a wait for one, stopped when its request is refused."""
+        """Stop a run, or a wait for one, if its request is refused in this context."""
         stops = self._stops_by_digest.setdefault(digest, set())
         stops.add(stop)
         try:
@@ -96,12 +96,12 @@
                 del self._stops_by_digest[digest]
 
     async def settle(self, digest: str, until: float) -> None:
-        """Wait until it can be told whether a suspected request is refused.
+        """Wait until it is decided whether a suspected request is refused.
 
         Parameters
         ----------
         until : float
-            When the request's own time has passed.
+            Deadline of the request.
         """
         while True:
             now = self._clock.now()
@@ -111,11 +111,11 @@
             await trio.sleep(left_s)
 
     def is_settled(self, digest: str) -> bool:
-        """Return whether it can be told if a request is refused."""
+        """Return whether it is decided if a request is refused."""
         return self.book.settles_in_s(digest, self._clock.now()) <= 0
 
     def refusal(self, digest: str, request_id: str, may_have_run: bool) -> Fault | None:
-        """Return why a request is sent to no further target, or None."""
+        """Return why a request is not sent to another target; None if it may be."""
         now = self._clock.now()
         verdict = self.book.verdict(digest, now)
         if verdict is None:
@@ -124,20 +124,20 @@
             "request.refused",
             request=request_id,
             digest=digest,
-            ends=ends_words(verdict, now),
+            ends=format_crashes(verdict, now),
             may_have_run=may_have_run,
         )
         return Fault(
             ResultCode.CRASHES_TARGETS,
-            f"{len(verdict.ends)} targets ended under it",
+            f"{len(verdict.ends)} targets crashed under this request",
             verdict.until - now,
             Outcome.UNKNOWN if may_have_run else Outcome.NOT_RUN,
         )
 
     def count(self, digest: str, target_id: str, started_ms: int) -> bool:
-        """Note that a target ended under a request; return whether it counts."""
-        end = TargetEnd(target_id, started_ms, self._host_id, self._clock.now())
-        if not self.book.add_end(digest, end):
+        """Record that a target crashed under a request; return whether it counts."""
+        crash = TargetCrash(target_id, started_ms, self._host_id, self._clock.now())
+        if not self.book.add_crash(digest, crash):
             return False
         self.counted += 1
         self.tell(digest)
@@ -145,38 +145,38 @@
         return True
 
     def outlived(self, digest: str, request_id: str) -> None:
-        """Note that a target lives on after it began to run a request."""
-        if self.book.outlived(digest, self._clock.now()):
+        """Record that a target has survived the start of a request."""
+        if self.book.add_survival(digest, self._clock.now()):
             log_event("request.cleared", request=request_id, digest=digest)
             self.tell(digest)
             self._wake()
 
     def learn(self, reports: Iterable[CrashReport], told_by: str) -> list[str]:
-        """Take what others know of requests; return the digests that were news."""
+        """Merge reports from other hosts; return the digests with new information."""
         now = self._clock.now()
-        news = []
+        changed = []
         for report in reports:
             if self.book.merge(report, now):
-                news.append(report.digest)
-                self._log_told(report.digest, told_by)
+                changed.append(report.digest)
+                self._log_report(report.digest, told_by)
             if self.book.contradicts(report):
                 self.tell(report.digest)
-        if news:
+        if changed:
             self._wake()
-        return news
+        return changed
 
-    def _log_told(self, digest: str, told_by: str) -> None:
-        known = self.book.report(digest, self._clock.now())
+    def _log_report(self, digest: str, told_by: str) -> None:
+        report = self.book.report(digest, self._clock.now())
         log_event(
             "crashes.told",
             digest=digest,
             told_by=told_by,
-            ends=len(known.ends),
-            survived=known.survived_age_s >= 0,
+            ends=len(report.ends),
+            survived=report.survived_age_s >= 0,
         )
 
     def report(self, digest: str) -> CrashReport:
-        """Return what this host knows of a request."""
+        """Return the crashes and survival that are recorded for a request."""
         return self.book.report(digest, self._clock.now())
 
     def _wake(self) -> None:
@@ -184,9 +184,9 @@
         event.set()
 
 
-def ends_words(verdict: Verdict, now: float) -> str:
-    """Return the ends that were counted, for a log line."""
+def format_crashes(verdict: Verdict, now: float) -> str:
+    """Return the counted crashes as text for a log line."""
     return ", ".join(
-        f"{end.target_id} {now - end.at:.1f} s ago by {end.told_by}"
-        for end in verdict.ends
+        f"{crash.target_id} {now - crash.at:.1f} s ago by {crash.told_by}"
+        for crash in verdict.ends
     )
--- a/radishfield/crashes/_listens.py
+++ b/radishfield/crashes/_listens.py
@@ -1,8 +1,8 @@
-"""Whether a process listens at an address.
+"""Checks whether a process listens at an address.
 
-A process that has ended listens no more, and its host refuses new connections at once.
-A connection that was only reset leaves one that listens; behind a link that is cut
-nothing answers at all, which proves nothing.
+After a process has ended, its host refuses new connections at once.  After a mere reset
+of a connection, the process still listens.  Over a partitioned link there is no answer
+at all, which proves nothing.
 """
 
 import trio
@@ -12,7 +12,7 @@
 
 
 async def listens(host: str, port: int) -> bool | None:
-    """Return whether anybody listens; None where nobody answers in time."""
+    """Return whether a process listens; None if there is no answer in time."""
     with trio.move_on_after(LISTEN_TIMEOUT_S), trio.socket.socket() as sock:
         try:
             await sock.connect((host, port))
