--- a/radishfield/kernel/__init__.py
+++ b/radishfield/kernel/__init__.py
@@ -1,4 +1,4 @@
-"""The micro-kernel: services that find each other by name and stop in order."""
+"""Registry of services that look each other up by name and stop in order."""
 
 from radishfield.kernel._kernel import Kernel, Service, ServiceMissingError
 
--- a/radishfield/kernel/_kernel.py
+++ b/radishfield/kernel/_kernel.py
@@ -8,11 +8,11 @@
 
 
 class ServiceMissingError(LookupError):
-    """A service was looked up that nobody registered: a wiring defect."""
+    """Raised when a service is looked up that is not registered: a wiring defect."""
 
 
 class Service(Protocol):
-    """What the kernel runs.
+    """A service that the kernel runs.
 
     ``run`` reports through ``task_status.started()`` once the service can be
     used, then works until cancelled.
@@ -25,9 +25,9 @@
 class Kernel:
     """Services by name, started in the order of registration.
 
-    An orderly stop is two steps: `drain` lets each service end what is in
-    flight, the latest registered first, so that none loses a service it still
-    depends on; cancelling `run` then ends whatever is left, all at once.
+    An orderly stop takes two steps.  `drain` lets each service finish what is in
+    flight, the latest registered first, so that no service loses one that it still
+    depends on.  Cancelling `run` then ends whatever remains, all at once.
     """
 
     __slots__ = ("_services_by_name",)
@@ -36,7 +36,7 @@
         self._services_by_name: dict[str, object] = {}
 
     def register(self, name: str, service: object) -> None:
-        """Add a service; a second one of the same name is a defect."""
+        """Add a service; to register a name twice is a defect and raises ValueError."""
         if name in self._services_by_name:
             raise ValueError(f"service {name!r} is already registered")
         self._services_by_name[name] = service
@@ -60,8 +60,8 @@
     async def drain(self) -> None:
         """Drain every running service that has a ``drain``, the latest first.
 
-        Registered objects without ``run`` are no services; a ``drain`` of theirs
-        is an action of another kind, such as an operator's on a target.
+        Registered objects without ``run`` are not services; their ``drain`` does
+        something else, such as an operator's action on a target.
         """
         for service in reversed(self._services_by_name.values()):
             if hasattr(service, "run") and hasattr(service, "drain"):
--- a/radishfield/kernel/kernel_test.py
+++ b/radishfield/kernel/kernel_test.py
@@ -26,7 +26,7 @@
 
 
 class DrainAction:
-    """No service: its ``drain`` is an operator's action and takes arguments."""
+    """Not a service: its ``drain`` is an operator's action and takes arguments."""
 
     __slots__ = ()
 
