--- a/radishfield/limits/__init__.py
+++ b/radishfield/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Limits that the entry host and the router keep alike: plain values and decisions.
+"""Limits that apply to the entry host and the router: plain values and decisions.
 
 Nothing here does I/O or reads a clock.
 """
--- a/radishfield/limits/_retries.py
+++ b/radishfield/limits/_retries.py
@@ -1,12 +1,12 @@
-"""How often a service may be sent a request again, by all hosts together.
-
-Load pattern: a target fails much of its work and each failure is sent again, so
-that the targets that are left get the load twice.  All hosts share one allowance: a
-ratio of the first tries in a window and a fixed slack.  Divided evenly, a host at
-which all the failures fall runs out while the others' parts lie idle: with nine
-hosts one could repeat twenty requests in ten seconds, and a dead target breaks more.
-So each host tells what it has used, and takes from what is left over all hosts, no
-more at a time than would still fit if every other one did the same at that moment.
+"""Limits how often all hosts together may retry requests of a service.
+
+When a target fails much of its work and each failure is retried, the remaining targets
+get the load twice.  All hosts therefore share one retry budget: a ratio of the first
+attempts in a window and a fixed slack.  If it were divided evenly, a host at which all
+the failures occur would run out while the shares of the others stay unused: with nine
+hosts, one could retry twenty requests in ten seconds, and a dead target breaks more.
+So each host reports what it has used, and takes from what remains over all hosts, no
+more at a time than would still fit if every other host did the same at that moment.
 """
 
 from collections import deque
@@ -14,92 +14,94 @@
 
 import msgspec
 
-SAFETY = 0.75
-"""Part of a shared allowance that is used: windows slide, and what others told is up
-to a second old."""
+SAFETY_FACTOR = 0.75
+"""Fraction of a shared budget that is used: windows slide, and reports from other hosts
+are up to a second old."""
 
-LAG_S = 1.0
-"""Longest time until all hosts have heard of a repeat; within it a host takes no
-more than its even part of what is left."""
+MAX_REPORT_DELAY_S = 1.0
+"""Maximum time until all hosts have received the report of a retry.  Within it, a host
+takes no more than its even share of the remaining budget."""
 
 
 class RetryAllowance(msgspec.Struct, frozen=True):
-    """The allowance of all hosts together.
+    """Size of the retry budget that all hosts share.
 
     Attributes
     ----------
     ratio : float
-        Repeats for each first try in the window.
+        Retries for each first attempt in the window.
     slack : float
-        Repeats in the window beside the ratio.
+        Retries in the window in addition to the ratio.
     safety : float
-        Part of it that is used; 1 where no other host spends from it.
+        Fraction of the budget that is used; 1 where no other host spends from it.
     """
 
     ratio: float = 0.2
     window_s: float = 10.0
     slack: float = 50.0
-    safety: float = SAFETY
+    safety: float = SAFETY_FACTOR
 
 
 class RetryUse(msgspec.Struct, frozen=True):
-    """First tries and repeats of one host in its last window."""
+    """First attempts and retries of one host in its last window."""
 
     firsts: int = 0
     repeats: int = 0
 
 
 class RetryBudget(msgspec.Struct):
-    """One service's repeats at this host, over a sliding window."""
+    """Retries of one service at this host, over a sliding window."""
 
     allowance: RetryAllowance
-    _firsts: deque[float] = msgspec.field(default_factory=deque)
-    _repeats: deque[float] = msgspec.field(default_factory=deque)
+    _first_attempt_times: deque[float] = msgspec.field(default_factory=deque)
+    _retry_times: deque[float] = msgspec.field(default_factory=deque)
 
     def first_try(self, now: float) -> None:
-        """Count the first send of a request."""
-        self._firsts.append(now)
+        """Count the first attempt of a request."""
+        self._first_attempt_times.append(now)
         self._forget(now)
 
     def use(self, now: float) -> RetryUse:
-        """Return what this host used, for the others."""
+        """Return what this host has used, to report it to the others."""
         self._forget(now)
-        return RetryUse(len(self._firsts), len(self._repeats))
+        return RetryUse(len(self._first_attempt_times), len(self._retry_times))
 
     def take(self, now: float, hosts: int = 1, others: Iterable[RetryUse] = ()) -> bool:
-        """Take one repeat out; False if nothing is left for this host.
+        """Take one retry from the budget; return False if none is left for this host.
 
         Parameters
         ----------
         hosts : int
-            All hosts, this one included.
+            Number of all hosts, including this one.
         others : iterable of RetryUse
-            What the hosts that are heard of have used.  The even part of those
-            that are silent counts as used up.
+            Use of the other hosts that have reported.  The even share of those
+            that have not reported counts as used up.
         """
-        told = list(others)
-        left = self.left(now, hosts, told)
-        just_taken = sum(1 for at in self._repeats if at > now - LAG_S)
-        if (just_taken + 1) * (1 + len(told)) > left + just_taken:
+        reported = list(others)
+        left = self.left(now, hosts, reported)
+        recent_retries = sum(
+            1 for at in self._retry_times if at > now - MAX_REPORT_DELAY_S
+        )
+        if (recent_retries + 1) * (1 + len(reported)) > left + recent_retries:
             return False
-        self._repeats.append(now)
+        self._retry_times.append(now)
         return True
 
     def left(self, now: float, hosts: int, others: Collection[RetryUse]) -> float:
-        """Return the repeats that are left for all hosts together; see `take`."""
+        """Return the retries that are left for all hosts together; see `take`."""
         self._forget(now)
-        firsts = len(self._firsts) + sum(use.firsts for use in others)
-        repeats = len(self._repeats) + sum(use.repeats for use in others)
+        firsts = len(self._first_attempt_times) + sum(use.firsts for use in others)
+        repeats = len(self._retry_times) + sum(use.repeats for use in others)
         slack = self.allowance.slack * min(1.0, (1 + len(others)) / max(1, hosts))
         return self.allowance.safety * (self.allowance.ratio * firsts + slack) - repeats
 
     def give_back(self) -> None:
-        """Undo the last repeat: it never reached a target."""
-        if self._repeats:
-            self._repeats.pop()
+        """Return the last retry to the budget; it never reached a target."""
+        if self._retry_times:
+            self._retry_times.pop()
 
     def _forget(self, now: float) -> None:
         oldest = now - self.allowance.window_s
-        for times in (self._firsts, self._repeats):
+        for times in (self._first_attempt_times, self._retry_times):
             while times and times[0] < oldest:
                 times.popleft()
