--- a/radishfield/pipeline/__init__.py
+++ b/radishfield/pipeline/__init__.py
@@ -1,4 +1,4 @@
-"""The pipeline's state machine: every layer once for each token, in order."""
+"""State machine of a pipeline: each token passes every layer once, in order."""
 
 from radishfield.pipeline._state import CommittedBatch, PipelineState
 
