--- a/radishfield/forwarding/_active_stream.py
+++ b/radishfield/forwarding/_active_stream.py
@@ -1,4 +1,4 @@
-"""One attempt of a stream, as those see it that look after streams in flight."""
+"""State of one attempt of a stream while it is in flight."""
 
 from collections.abc import Callable
 
@@ -9,25 +9,25 @@
 from radishfield.routing import Demand, EngineSpec, Path, StreamSilence
 from radishfield.telemetry import log_event
 
-GAP_MEMORY = 0.8
-"""Weight of the past in a stream's usual pause."""
-KEPT_LOOK_S = 0.25
-"""Time for which an attempt that nothing can follow is kept before that is asked
-again."""
-LONGEST_KEPT_S = 1.0
-"""Silence after which an attempt ends whose target was found lost, whatever may follow
-it: lost packets are sent again within this time, and what it holds at the other
-targets of its path is room that new requests lack."""
+GAP_HISTORY_WEIGHT = 0.8
+"""Weight of earlier gaps in the moving average of a stream's gaps between events."""
+KEPT_RECHECK_S = 0.25
+"""Time for which an attempt without a possible successor is kept before the host checks
+again for one."""
+MAX_KEPT_S = 1.0
+"""Silence after which an attempt with an unreachable target ends, even if no other
+attempt can follow it.  Lost packets are retransmitted within this time, and the attempt
+holds capacity at the other targets of its path that new requests lack."""
 
 
 class ActiveStream:
-    """One attempt of a stream: its path, and when it was last heard of.
+    """One attempt of a stream, with its path and the time of its last progress.
 
     Attributes
     ----------
     prepare_successor : callable
-        Reserves what another attempt takes; returns what keeps it from following this
-        one, or nothing.
+        Reserves what another attempt needs; returns the reason why none can follow this
+        one, or an empty string.
     """
 
     __slots__ = (
@@ -35,9 +35,9 @@
         "demand",
         "engine",
         "prepare_successor",
-        "given_up",
+        "abandon_reason",
         "has_events",
-        "heard_at",
+        "last_progress_at",
         "moving",
         "path",
         "scope",
@@ -60,9 +60,9 @@
         self.engine = engine
         self.demand = demand
         self.path = path
-        self.heard_at = now
+        self.last_progress_at = now
         self.has_events = False
-        self.given_up = ""
+        self.abandon_reason = ""
         self.moving = False
         self.may_resume = True
         self.usual_gap_s = 0.0
@@ -71,35 +71,39 @@
         self._kept_until = now
         self.scope = trio.CancelScope()
 
-    def heard(self, now: float) -> None:
-        """Note an event."""
+    def note_event(self, now: float) -> None:
+        """Record the arrival of an event."""
         if self.has_events:
-            gap_s = now - self.heard_at
+            gap_s = now - self.last_progress_at
             before_s = self.usual_gap_s or gap_s
-            self.usual_gap_s = GAP_MEMORY * before_s + (1 - GAP_MEMORY) * gap_s
+            self.usual_gap_s = (
+                GAP_HISTORY_WEIGHT * before_s + (1 - GAP_HISTORY_WEIGHT) * gap_s
+            )
         else:
             self._first_event_at = now
-        self.heard_at = now
+        self.last_progress_at = now
         self.has_events = True
 
     @property
     def outlived_start(self) -> bool:
-        """Return whether its target lives on well after it began to run."""
-        began_at = self._first_event_at
-        return began_at is not None and self.heard_at - began_at >= OUTLIVED_S
+        """Return whether its target was still alive well after the attempt started."""
+        started_at = self._first_event_at
+        return (
+            started_at is not None and self.last_progress_at - started_at >= OUTLIVED_S
+        )
 
     def stop(self) -> None:
-        """End the attempt for good, unless its target has begun to answer."""
+        """End the attempt, unless its target has started to answer."""
         if not self.has_events:
-            self.given_up = "targets ended under it"
+            self.abandon_reason = "targets ended under it"
             self.scope.cancel()
 
     def silence(self, now: float) -> StreamSilence:
-        """Return how the stream stands, for decisions."""
+        """Return the state of the stream that decisions are based on."""
         route = self.call.route
         return StreamSilence(
-            target_ids=tuple(part.target_id for part in self.path),
-            silent_s=now - self.heard_at,
+            target_ids=tuple(stage.target_id for stage in self.path),
+            silent_s=now - self.last_progress_at,
             has_events=self.has_events,
             usual_gap_s=self.usual_gap_s,
             allowed_s=route.allowed_silence_s(self.has_events),
@@ -107,37 +111,42 @@
             report_lag_s=self.engine.report_lag_s if self.engine else 0.0,
         )
 
-    def give_up(self, reason: str, now: float, found_lost: bool = False) -> bool:
-        """End the attempt, so that the stream goes on elsewhere; False if it is kept.
+    def abandon(
+        self, reason: str, now: float, target_unreachable: bool = False
+    ) -> bool:
+        """End the attempt so that another can resume the stream; False if it is kept.
 
-        An attempt that nothing can follow is kept: it may yet go on, and ended it
-        would leave the caller with half an answer.
+        An attempt without a possible successor is kept: it may still continue, and
+        ending it would leave the caller with a truncated answer.
 
         Parameters
         ----------
-        found_lost : bool
-            A target of its path did not answer, though this host heard others.
+        target_unreachable : bool
+            A target of its path did not answer, although this host received answers
+            from others.
         """
         if now < self._kept_until:
             return False
         obstacle = self.prepare_successor()
-        if not obstacle or (found_lost and now - self.heard_at >= LONGEST_KEPT_S):
-            self.given_up = reason
+        if not obstacle or (
+            target_unreachable and now - self.last_progress_at >= MAX_KEPT_S
+        ):
+            self.abandon_reason = reason
             self.scope.cancel()
             return True
-        self._kept_until = now + KEPT_LOOK_S
+        self._kept_until = now + KEPT_RECHECK_S
         log_event(
             "stream.kept",
             request=self.call.facts.request_id,
             reason=reason,
             obstacle=obstacle,
-            silent_s=round(now - self.heard_at, 2),
+            silent_s=round(now - self.last_progress_at, 2),
         )
         return False
 
 
-def path_words(path: Path) -> str:
-    """Return a path for a log line."""
+def format_path(path: Path) -> str:
+    """Return a path formatted for a log line."""
     return " ".join(
-        f"{part.target_id}={part.span.first}-{part.span.end}" for part in path
+        f"{stage.target_id}={stage.span.first}-{stage.span.end}" for stage in path
     )
--- a/radishfield/forwarding/_app.py
+++ b/radishfield/forwarding/_app.py
@@ -1,4 +1,4 @@
-"""The callers' application: from a request's head to the forwarder that serves it."""
+"""HTTP application for callers: reads requests and hands them to a forwarder."""
 
 import math
 
@@ -28,12 +28,12 @@
 )
 
 UNKNOWN_CONFIG_RETRY_S = 0.7
-"""A host reads the configuration within a second of its start."""
+"""A host reads its configuration within a second after it starts."""
 BODY_TIMEOUT_S = 10.0
 
 
 class RouterApp:
-    """Serves callers."""
+    """Accepts, routes and logs the requests of callers."""
 
     __slots__ = ("_plain", "_streams", "_telemetry", "_view")
 
@@ -60,12 +60,12 @@
         current_request_id.set(facts.request_id)
         responder = Responder(send, facts.request_id, lambda: self._view.leaving)
         self._view.in_flight += 1
-        ending = _Ending()
+        record = _RequestRecord()
         try:
-            await self._answer(scope, receive, facts, responder, arrived_at, ending)
+            await self._answer(scope, receive, facts, responder, arrived_at, record)
         finally:
             self._view.in_flight -= 1
-            self._account(facts, responder, arrived_at, ending)
+            self._record_end(facts, responder, arrived_at, record)
 
     async def _answer(
         self,
@@ -74,7 +74,7 @@
         facts: RequestFacts,
         responder: Responder,
         arrived_at: float,
-        ending: "_Ending",
+        record: "_RequestRecord",
     ) -> None:
         body = await read_body(receive, self._body_limit())
         if body.is_error():
@@ -86,7 +86,7 @@
         if isinstance(call, Fault):
             await responder.refuse(call)
             return
-        ending.call = call
+        record.call = call
         await run_until_disconnect(receive, lambda: self._forward(call))
 
     async def _forward(self, call: Call) -> None:
@@ -109,7 +109,7 @@
         responder: Responder,
         arrived_at: float,
     ) -> Call | Fault:
-        """Return the call that a request makes, or why it is refused."""
+        """Match a request to a route; return the call or the reason for refusing it."""
         table = self._view.table
         if table is None:
             detail = "no configuration yet"
@@ -130,7 +130,7 @@
         if workspace is not None and not self._view.freshness.admits_keys(now):
             return stale_view(self._view)
         if not self._view.takes_work(route.timeout_s):
-            return fault(ResultCode.DRAINING, "host leaves", LEAVING_RETRY_S)
+            return fault(ResultCode.DRAINING, "host is leaving", LEAVING_RETRY_S)
         service = self._view.pick_service(route)
         query = scope["query_string"]
         target = scope["raw_path"] + (b"?" + query if query else b"")
@@ -151,25 +151,25 @@
         )
 
     def _unknown_key(self, version: int) -> Fault:
-        """Refuse a key; a view that may be old proves nothing about it."""
+        """Refuse an unknown key; a stale view does not show that a key is invalid."""
         now = self._view.clock.now()
         if not self._view.freshness.admits_keys(now):
             return stale_view(self._view)
         return fault(ResultCode.UNAUTHORIZED, f"version {version}")
 
-    def _account(
+    def _record_end(
         self,
         facts: RequestFacts,
         responder: Responder,
         arrived_at: float,
-        ending: "_Ending",
+        record: "_RequestRecord",
     ) -> None:
-        """Count and log a request's end, whichever way it came."""
+        """Count and log the end of a request, whatever its outcome."""
         now = self._view.clock.now()
         problem = responder.problem
-        call = ending.call
+        call = record.call
         if call is not None and not responder.finished:
-            problem = fault(ResultCode.CANCELLED, "caller left")
+            problem = fault(ResultCode.CANCELLED, "caller disconnected")
         code = problem.code if problem else ResultCode.FINISHED
         kind = RequestKind.UNREAD
         if call is not None:
@@ -194,7 +194,7 @@
             route=call.route.name if call else "",
             objective_s=call.route.objective_s if call else None,
             deadline_s=facts.deadline_s,
-            **_stream_words(call),
+            **_stream_log_fields(call),
             broken_off=responder.broken_off,
             config_version=table.config.version if table else 0,
             config_age_s=_rounded(self._view.freshness.age_s(now)),
@@ -202,8 +202,8 @@
         )
 
 
-class _Ending:
-    """The call that a request became, filled in on its way."""
+class _RequestRecord:
+    """Holds the call of a request once the request is matched to a route."""
 
     __slots__ = ("call",)
 
@@ -211,10 +211,10 @@
         self.call: Call | None = None
 
 
-def _stream_words(call: Call | None) -> dict[str, float | int | None]:
+def _stream_log_fields(call: Call | None) -> dict[str, float | int | None]:
     if call is None or call.route.kind is not RouteKind.STREAM:
         return {}
-    return {"gap_objective_s": call.route.longest_gap_s, **call.times.words()}
+    return {"gap_objective_s": call.route.longest_gap_s, **call.times.log_fields()}
 
 
 def _digest(host: str, target: bytes, workspace: Workspace | None, body: bytes) -> str:
@@ -227,7 +227,7 @@
 
 
 class ReadinessApp:
-    """Tells the balancer whether this host takes new connections."""
+    """Reports to the load balancer whether this host takes new connections."""
 
     __slots__ = ("_path", "_view", "_was_ready")
 
--- a/radishfield/forwarding/_call.py
+++ b/radishfield/forwarding/_call.py
@@ -1,4 +1,4 @@
-"""One caller's request on its way, and the answers that it can be given."""
+"""A caller's request in progress, and the answers sent to the caller."""
 
 import random
 
@@ -23,64 +23,65 @@
     ResultCode.BAD_HEADER: 400,
     ResultCode.DEADLINE_PASSED: 504,
 }
-RETURN_SPREAD = 0.5
-"""Times to come back differ by up to this part, so that callers who were refused
-together do not return as one wave."""
+RETRY_JITTER = 0.5
+"""Retry times are extended at random by up to this share, so that callers refused at
+the same time do not all return at once."""
 
 CALLER_SLACK_S = 0.3
-"""A caller counts from when an event reached it, and its leaving takes a moment too:
-ended any sooner, its answer would be cut by this host."""
+"""A caller counts its timeout from the receipt of an event, and its disconnect takes
+time too.  Without this slack, the host would abort answers that callers wait for."""
 
 
 class Responder(msgspec.Struct):
-    """The caller's end of a request; knows whether an answer has begun.
+    """Sends the answer to the caller and records how far it has got.
 
-    ``finished`` is set before the last bytes go out: the server tells of the end of
-    the exchange as of a caller that leaves, and may cancel the sender within it.
-    Heads and ends are sent whole: a cancellation between the server's note of one and
-    its bytes would leave it with an answer that fits neither, which ends the process.
+    ``finished`` is set before the last bytes are sent: the server reports the end of
+    the exchange like a caller that disconnects, and may cancel the sender during it.
+    Heads and ends are shielded from cancellation: cancelled after the server records
+    one but before it sends the bytes, its state would be inconsistent, which ends the
+    process.
     """
 
     send: object
     request_id: str
     closing: object
-    """Returns whether the host leaves, so that connections are to be closed."""
+    """Returns whether the host is leaving and callers should close connections."""
     started: bool = False
     finished: bool = False
     broken_off: bool = False
     problem: Fault | None = None
 
-    async def whole(self, status: int, headers: Headers, body: bytes) -> None:
-        """Pass on a target's whole answer."""
+    async def send_complete(self, status: int, headers: Headers, body: bytes) -> None:
+        """Forward the complete answer of a target."""
         self.started = True
-        passed = self._with_close(caller_headers(headers))
-        passed.append((b"content-length", str(len(body)).encode()))
+        forwarded = self._with_close(caller_headers(headers))
+        forwarded.append((b"content-length", str(len(body)).encode()))
         with trio.CancelScope(shield=True):
-            await start_answer(self.send, status, passed)
+            await start_answer(self.send, status, forwarded)
             self.finished = True
             await send_chunk(self.send, body, more=False)
 
     async def start_stream(self, status: int, headers: Headers) -> None:
-        """Pass on the head of a stream."""
+        """Forward the status and headers of a stream."""
         self.started = True
-        passed = self._with_close(caller_headers(headers))
+        forwarded = self._with_close(caller_headers(headers))
         with trio.CancelScope(shield=True):
-            await start_answer(self.send, status, passed)
+            await start_answer(self.send, status, forwarded)
 
-    async def events(self, events: bytes) -> None:
-        """Pass on whole events."""
+    async def send_events(self, events: bytes) -> None:
+        """Forward complete events."""
         await send_chunk(self.send, events)
 
     async def end_stream(self) -> None:
-        """End a stream that is whole."""
+        """End a complete stream."""
         self.finished = True
         with trio.CancelScope(shield=True):
             await send_chunk(self.send, b"", more=False)
 
     async def refuse(self, problem: Fault) -> None:
-        """Give an answer of the host's own; a begun answer is cut instead.
+        """Send the host's own error answer; abort an answer that has started.
 
-        Without its closing chunk no caller can take a stream for whole.
+        Without the closing chunk no caller can mistake the stream for complete.
         """
         self.problem = problem
         self.finished = True
@@ -90,7 +91,7 @@
         self.started = True
         status = status_of(problem)
         retry_after_s = problem.retry_after_s if status == 503 else None
-        headers = own_answer_headers(self.request_id, _spread(retry_after_s))
+        headers = own_answer_headers(self.request_id, _jittered(retry_after_s))
         body = msgspec.json.encode(
             {"code": int(problem.code), "error": problem.code.name.lower()}
         )
@@ -105,7 +106,7 @@
 
 
 class StreamTimes(msgspec.Struct):
-    """How a stream went, as its caller sees it; for the line at its end.
+    """Timings of a stream as its caller sees them, for the log line at its end.
 
     Attributes
     ----------
@@ -114,9 +115,9 @@
     longest_gap_s : float
         Longest pause between two events.
     queued_s : float
-        Seconds spent in line, over all attempts.
+        Seconds spent in the queue, over all attempts.
     moved : int
-        Times that the path was changed under the running stream.
+        Number of path changes while the stream was running.
     last_event_at : float
         Reading of the clock at the last event.
     """
@@ -128,8 +129,8 @@
     moved: int = 0
     last_event_at: float = 0.0
 
-    def passed(self, events: int, arrived_at: float, now: float) -> None:
-        """Note events that go out to the caller."""
+    def note_sent(self, events: int, arrived_at: float, now: float) -> None:
+        """Record events that are sent to the caller."""
         if self.first_event_s is None:
             self.first_event_s = now - arrived_at
         else:
@@ -137,8 +138,8 @@
         self.last_event_at = now
         self.events += events
 
-    def words(self) -> dict[str, float | int | None]:
-        """Return what the line at the request's end says."""
+    def log_fields(self) -> dict[str, float | int | None]:
+        """Return the fields for the log line at the end of the request."""
         first_s = self.first_event_s
         return {
             "first_event_s": None if first_s is None else round(first_s, 3),
@@ -150,24 +151,24 @@
 
 
 class Call(msgspec.Struct):
-    """A request that was read whole and matched to a route.
+    """A request that was read completely and matched to a route.
 
     Attributes
     ----------
     arrived_at, deadline_at : float
-        Readings of the clock that counts suspension.
+        Readings of the clock that keeps counting during suspension.
     sent, arrived : int
-        Times that the request was sent to a target, and that it reached one.
+        How often the request was sent to a target, and how often it reached one.
     tried, ran_at : set of str
         Targets that it was sent to, and those that may have run it.
     digest : str
-        What it shares with the same request of the same caller under another id.
+        Digest that is equal for the same request of the same caller under another id.
     may_have_run : bool
-        Some target may have run it, or run it in part.
+        Some target may have run it, completely or in part.
     repeat_reserved : bool
-        A repeat was taken out of the allowance, and not sent yet.
+        A retry was taken from the retry budget and has not been sent yet.
     times : StreamTimes
-        How its stream went; untouched for a request with one whole answer.
+        Timings of its stream; unused for a request with a single answer.
     """
 
     facts: RequestFacts
@@ -196,28 +197,28 @@
         return self.workspace.name if self.workspace else ""
 
     @property
-    def caller_leaves_at(self) -> float:
-        """Return when the caller of a stream that has begun has left for silence."""
-        patience_s = self.route.caller_patience_s + CALLER_SLACK_S
-        return self.times.last_event_at + patience_s
+    def caller_timeout_at(self) -> float:
+        """Return when the caller of a started stream times out for lack of events."""
+        timeout_s = self.route.caller_patience_s + CALLER_SLACK_S
+        return self.times.last_event_at + timeout_s
 
     @property
     def priority(self) -> int:
-        """Return the rank, 0 first: the workspace's own goes before the route's."""
+        """Return the rank, 0 first; the workspace's overrides the route's."""
         if self.workspace is not None and self.workspace.priority is not None:
             return self.workspace.priority
         return self.route.priority
 
 
 def status_of(problem: Fault) -> int:
-    """Return the status for a fault: a promise only where nothing has run."""
+    """Return the HTTP status for a fault; 503 only if nothing has run."""
     status = STATUS_BY_CODE.get(problem.code)
     if status is not None:
         return status
     return 503 if problem.outcome is Outcome.NOT_RUN else 502
 
 
-def _spread(retry_after_s: float | None) -> float | None:
+def _jittered(retry_after_s: float | None) -> float | None:
     if retry_after_s is None:
         return None
-    return retry_after_s * (1.0 + random.uniform(0.0, RETURN_SPREAD))
+    return retry_after_s * (1.0 + random.uniform(0.0, RETRY_JITTER))
--- a/radishfield/forwarding/_connections.py
+++ b/radishfield/forwarding/_connections.py
@@ -1,9 +1,9 @@
-"""Connections to targets, kept and reused with care.
+"""Pool of HTTP connections to targets.
 
-A reset on a kept connection proves nothing: the target may have closed it while the
-request was on its way, or may have run the request.  So a request that may not be
-repeated always gets a connection of its own, and kept ones are used only well
-within the time after which targets close them.
+A reset on a reused connection does not show whether the request ran: the target may
+have closed the connection while the request was in transit, or may have run it.
+Requests that may not be retried therefore always get a new connection, and idle
+connections are reused only well before the target closes them.
 """
 
 import socket
@@ -21,33 +21,33 @@
 from radishfield.web import BROKEN_CONNECTION_ERRORS, split_address
 
 CONNECT_TIMEOUT_S = 0.4
-"""Targets of a region answer within a millisecond; one lost packet costs a second,
-after which another target has long answered."""
-KEEP_S = 2.5
-"""Longest idle time of a connection that is used again: half of the shortest idle
-time that targets announce."""
-KEEP_SHARE = 0.5
-"""Part of the announced idle time after which a connection is not used again."""
-KEPT_PER_TARGET = 8
+"""Targets of a region answer within a millisecond.  A lost packet costs a second, and
+another target can answer well before that."""
+MAX_IDLE_S = 2.5
+"""Longest idle time of a connection that is reused: half of the shortest idle timeout
+that targets announce."""
+IDLE_SHARE = 0.5
+"""Share of the announced idle timeout after which a connection is not reused."""
+MAX_IDLE_PER_TARGET = 8
 SEND_TIMEOUT_MS = 2500
-"""Time after which the kernel ends a connection whose bytes nobody acknowledges."""
-PROBE_IDLE_S, PROBE_EVERY_S, PROBES = 1, 1, 2
-"""Keep-alive probes end a connection that has fallen silent in three seconds."""
+"""Time after which the kernel closes a connection with unacknowledged bytes."""
+KEEPALIVE_IDLE_S, KEEPALIVE_INTERVAL_S, KEEPALIVE_PROBES = 1, 1, 2
+"""Keep-alive probes close an unresponsive connection within three seconds."""
 MAX_ANSWER_BYTES = 8 << 20
 
 _SOCKET_OPTIONS = [
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SEND_TIMEOUT_MS),
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_IDLE_S),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_EVERY_S),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
 ]
 _BROKEN_ERRORS = (*BROKEN_CONNECTION_ERRORS, httpcore.ConnectionNotAvailable)
 
 
 class Outgoing(msgspec.Struct, frozen=True):
-    """A request to a target, as bytes."""
+    """A request to a target, encoded as bytes."""
 
     method: str
     target: bytes
@@ -55,13 +55,13 @@
     body: bytes = b""
 
 
-class _Kept(msgspec.Struct):
+class _IdleConnection(msgspec.Struct):
     connection: httpcore.AsyncHTTPConnection
     until: float
 
 
 class Exchange:
-    """One request's answer, whose body is still to be read."""
+    """The answer to one request, with its body not yet read."""
 
     __slots__ = ("facts", "headers", "_address", "_connection", "_owner", "_response")
 
@@ -74,7 +74,7 @@
         self._owner = owner
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body; raise `BrokenAnswerError` where it does not end whole."""
+        """Yield the body; raise `BrokenAnswerError` if it is truncated."""
         try:
             async for chunk in self._response.stream:
                 yield chunk
@@ -82,7 +82,7 @@
             raise BrokenAnswerError(repr(problem)) from problem
 
     async def read(self) -> Result[bytes, Fault]:
-        """Return the whole body."""
+        """Return the complete body."""
         body = bytearray()
         try:
             async with aclosing(self.chunks()) as chunks:
@@ -95,7 +95,7 @@
         return Ok(bytes(body))
 
     async def close(self, reusable: bool) -> None:
-        """Give the connection back, or close it."""
+        """Return the connection to the pool, or close it."""
         with trio.CancelScope(shield=True):
             await self._response.aclose()
             if reusable and not self.facts.closes:
@@ -105,23 +105,23 @@
 
 
 class BrokenAnswerError(Exception):
-    """A body ended before it was whole."""
+    """A body ended before it was complete."""
 
 
 class TargetConnections:
-    """Sends requests to targets; counts the connections that it opens."""
+    """Sends requests to targets over pooled connections and counts those opened."""
 
-    __slots__ = ("_clock", "_kept_by_address", "opened")
+    __slots__ = ("_clock", "_idle_by_address", "opened")
 
     def __init__(self, clock: Clock):
         self._clock = clock
-        self._kept_by_address: dict[str, list[_Kept]] = defaultdict(list)
+        self._idle_by_address: dict[str, list[_IdleConnection]] = defaultdict(list)
         self.opened = 0
 
     async def send(
         self, address: str, outgoing: Outgoing, fresh: bool
     ) -> Result[Exchange, Fault]:
-        """Send a request once; a fault says whether it may have run."""
+        """Send a request once; the fault shows whether it may have run."""
         connection = None if fresh else await self._take(address)
         if connection is None:
             connection = self._open(address)
@@ -148,32 +148,32 @@
         return Ok(Exchange(address, connection, response, self))
 
     def keep(self, address: str, connection, idle_s: float | None) -> None:
-        """Keep an idle connection for a while."""
-        kept = self._kept_by_address[address]
-        if not connection.is_idle() or len(kept) >= KEPT_PER_TARGET:
-            # Closing needs no waiting: nothing is left to send.
-            trio.lowlevel.spawn_system_task(_close_quietly, connection)
+        """Keep an idle connection for reuse."""
+        kept = self._idle_by_address[address]
+        if not connection.is_idle() or len(kept) >= MAX_IDLE_PER_TARGET:
+            # The caller need not wait for the close: nothing is left to send.
+            trio.lowlevel.spawn_system_task(_close_within_limit, connection)
             return
-        limit_s = KEEP_S if idle_s is None else min(KEEP_S, idle_s * KEEP_SHARE)
-        kept.append(_Kept(connection, self._clock.now() + limit_s))
+        limit_s = MAX_IDLE_S if idle_s is None else min(MAX_IDLE_S, idle_s * IDLE_SHARE)
+        kept.append(_IdleConnection(connection, self._clock.now() + limit_s))
 
     async def close_idle(self) -> None:
-        """Close the kept connections that are too old to be used again."""
+        """Close the idle connections that are too old to be reused."""
         now = self._clock.now()
-        for address, kept in list(self._kept_by_address.items()):
-            old = [item for item in kept if item.until <= now]
-            if old:
+        for address, kept in list(self._idle_by_address.items()):
+            expired = [item for item in kept if item.until <= now]
+            if expired:
                 kept[:] = [item for item in kept if item.until > now]
-            for item in old:
+            for item in expired:
                 await item.connection.aclose()
             if not kept:
-                self._kept_by_address.pop(address, None)
+                self._idle_by_address.pop(address, None)
 
     async def _take(self, address: str) -> httpcore.AsyncHTTPConnection | None:
-        kept = self._kept_by_address.get(address)
+        kept = self._idle_by_address.get(address)
         while kept:
             item = kept.pop()
-            # Readable while idle: closed, or bytes that belong to no request.
+            # An idle connection that is readable was closed or has unrequested bytes.
             if item.until > self._clock.now() and not item.connection.has_expired():
                 return item.connection
             await item.connection.aclose()
@@ -188,6 +188,6 @@
         )
 
 
-async def _close_quietly(connection: httpcore.AsyncHTTPConnection) -> None:
+async def _close_within_limit(connection: httpcore.AsyncHTTPConnection) -> None:
     with trio.move_on_after(1.0):
         await connection.aclose()
--- a/radishfield/forwarding/_plain.py
+++ b/radishfield/forwarding/_plain.py
@@ -1,7 +1,7 @@
-"""Requests to plain services: one whole answer each.
+"""Forwards requests to plain services, which send a single answer each.
 
-An answer is held until it is whole.  One that breaks off can then still be asked
-for again, or ended as a failure, instead of reaching the caller in half.
+An answer is buffered until it is complete.  If it is truncated, the request can still
+be retried or refused, and the caller does not get a partial answer.
 """
 
 import msgspec
@@ -12,26 +12,26 @@
 from radishfield.forwarding._call import Call
 from radishfield.forwarding._crash_watch import CrashWatch
 from radishfield.forwarding._targets import Targets, final_fault
-from radishfield.forwarding._tries import Tries, target_error
+from radishfield.forwarding._tries import Attempts, target_error
 from radishfield.forwarding._view import RouterView
 from radishfield.platform import Headers
 from radishfield.routing import FailureRates, TargetRecord, choose_target
 
 NO_TARGET_RETRY_S = 0.6
-"""A target that was lost is replaced or found alive within about a second."""
-MORE_REFUSALS = 2
-"""Targets that may refuse a request beside the attempts that may run it."""
-FIRST_PATIENCE = 0.8
-"""Part of the objective after which a repeatable request is also sent elsewhere:
-an answer that is lost never comes, and one more target still answers in time."""
-LEAST_PATIENCE_S = 0.15
-"""An answer that is not lost comes sooner, whatever the objective: asked for earlier,
-each slow one takes a second place of the few that a plain service has."""
+"""An unreachable target is replaced or found alive within about a second."""
+MAX_REFUSALS = 2
+"""Refusals allowed for a request in addition to the attempts that may run it."""
+HEDGE_SHARE = 0.8
+"""Share of the objective after which a repeatable request is also sent to a second
+target.  A lost answer never arrives, and the second target still answers in time."""
+MIN_HEDGE_DELAY_S = 0.15
+"""Answers that are not lost arrive sooner than this, whatever the objective.  With an
+earlier hedge, each slow request takes a second of a plain service's few slots."""
 SERVER_ERROR = 500
 
 
-class WholeAnswer(msgspec.Struct, frozen=True):
-    """A target's answer, complete."""
+class CompleteAnswer(msgspec.Struct, frozen=True):
+    """The complete answer of a target."""
 
     status: int
     headers: Headers
@@ -39,41 +39,41 @@
     target_id: str
 
 
-class _PlainTries(Tries):
-    """The tries of one call; keeps the last answer that was a failure."""
+class _PlainAttempts(Attempts):
+    """The attempts of one call, with the last answer that was a failure."""
 
     __slots__ = ("failed_answer",)
 
     def __init__(self):
         super().__init__(NO_TARGET_RETRY_S)
-        self.failed_answer: WholeAnswer | None = None
+        self.failed_answer: CompleteAnswer | None = None
 
     def stop(self, problem: Fault) -> None:
-        """Note why no further try is made; a target's own failure goes first."""
+        """Record why attempts stop, unless a target answered with a failure."""
         if self.failed_answer is None:
             self.problem = problem
 
-    def take(self, result: Result[WholeAnswer, Fault]) -> None:
-        """Note a try that failed."""
+    def note_failure(self, result: Result[CompleteAnswer, Fault]) -> None:
+        """Record a failed attempt."""
         if result.is_ok():
             self.failed_answer = result.ok
             self.count(target_error(result.ok.status))
         else:
             self.count(result.error)
 
-    def over(self, call: Call) -> bool:
-        """Return whether the route allows no further try.
+    def is_exhausted(self, call: Call) -> bool:
+        """Return whether the route allows no further attempt.
 
-        Targets are counted, not tries: one try may have gone to two of them.
+        Targets are counted, not attempts: one attempt may have gone to two targets.
         """
         if self.runs and not call.route.repeatable:
             return True
         seen = len(call.ran_at)
-        return seen >= call.route.max_attempts or self.refusals > MORE_REFUSALS
+        return seen >= call.route.max_attempts or self.refusals > MAX_REFUSALS
 
 
 class PlainForwarder:
-    """Serves calls to services whose targets each serve a request alone."""
+    """Serves calls to services whose targets each process a request alone."""
 
     __slots__ = ("_crashes", "_failures", "_targets", "_view")
 
@@ -85,38 +85,40 @@
 
     async def serve(self, call: Call) -> None:
         """Answer a call."""
-        result = await self._whole_answer(call)
+        result = await self._complete_answer(call)
         if result.is_ok():
             answer = result.ok
-            await call.responder.whole(answer.status, answer.headers, answer.body)
+            await call.responder.send_complete(
+                answer.status, answer.headers, answer.body
+            )
             return
         await call.responder.refuse(result.error)
 
-    async def _whole_answer(self, call: Call) -> Result[WholeAnswer, Fault]:
-        """Try targets until one answers, or no further try is allowed."""
-        tries = _PlainTries()
+    async def _complete_answer(self, call: Call) -> Result[CompleteAnswer, Fault]:
+        """Try targets until one answers or no further attempt is allowed."""
+        attempts = _PlainAttempts()
         while True:
             await self._view.crashes.settle(call.digest, call.deadline_at)
             stop = self._targets.check(call)
             if stop is not None:
-                tries.stop(stop)
+                attempts.stop(stop)
                 break
             record = self._choose(call)
             if record is None:
                 break
-            if call.sent and not self._targets.may_repeat(call, tries.problem):
+            if call.sent and not self._targets.may_repeat(call, attempts.problem):
                 break
-            result = await self._attempt(call, record, may_hedge=tries.runs == 0)
+            result = await self._attempt(call, record, may_hedge=attempts.runs == 0)
             if not _failed(result):
                 return result
-            tries.take(result)
-            if tries.over(call):
+            attempts.note_failure(result)
+            if attempts.is_exhausted(call):
                 await self._view.crashes.settle(call.digest, call.deadline_at)
-                tries.problem = self._view.crash_refusal(call) or tries.problem
+                attempts.problem = self._view.crash_refusal(call) or attempts.problem
                 break
-        if tries.failed_answer is not None:
-            return Ok(tries.failed_answer)
-        return Error(final_fault(call, tries.problem, NO_TARGET_RETRY_S))
+        if attempts.failed_answer is not None:
+            return Ok(attempts.failed_answer)
+        return Error(final_fault(call, attempts.problem, NO_TARGET_RETRY_S))
 
     def _choose(self, call: Call) -> TargetRecord | None:
         now = self._view.clock.now()
@@ -137,22 +139,22 @@
 
     async def _attempt(
         self, call: Call, record: TargetRecord, may_hedge: bool
-    ) -> Result[WholeAnswer, Fault]:
-        """Send to one target and, if it stays silent, to another one as well."""
+    ) -> Result[CompleteAnswer, Fault]:
+        """Send to one target and, if it does not answer in time, to a second one."""
         if not (may_hedge and call.route.repeatable and call.route.max_attempts > 1):
             return await self._try(call, record)
         send_results, results = trio.open_memory_channel(2)
         running = 1
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._try_into, call, record, send_results)
+            nursery.start_soon(self._try_and_report, call, record, send_results)
             result = None
-            with trio.move_on_after(self._patience_s(call)):
+            with trio.move_on_after(self._hedge_delay_s(call)):
                 result = await results.receive()
                 running -= 1
             if result is None:
                 other = self._hedge_target(call)
                 if other is not None:
-                    nursery.start_soon(self._try_into, call, other, send_results)
+                    nursery.start_soon(self._try_and_report, call, other, send_results)
                     running += 1
             while result is None or (_failed(result) and running):
                 result = await results.receive()
@@ -171,17 +173,17 @@
             return None
         return other
 
-    def _patience_s(self, call: Call) -> float:
+    def _hedge_delay_s(self, call: Call) -> float:
         waited_s = self._view.clock.now() - call.arrived_at
-        patience_s = call.route.objective_s * FIRST_PATIENCE - waited_s
-        return max(LEAST_PATIENCE_S, patience_s)
+        delay_s = call.route.objective_s * HEDGE_SHARE - waited_s
+        return max(MIN_HEDGE_DELAY_S, delay_s)
 
-    async def _try_into(self, call: Call, record: TargetRecord, results) -> None:
+    async def _try_and_report(self, call: Call, record: TargetRecord, results) -> None:
         await results.send(await self._try(call, record))
 
     async def _try(
         self, call: Call, record: TargetRecord
-    ) -> Result[WholeAnswer, Fault]:
+    ) -> Result[CompleteAnswer, Fault]:
         self._view.load.started(record.id, 0.0, first=True)
         result = Error(fault(ResultCode.DEADLINE_PASSED))
         left_s = call.deadline_at - self._view.clock.now()
@@ -202,7 +204,7 @@
 
     async def _exchange(
         self, call: Call, record: TargetRecord
-    ) -> Result[WholeAnswer, Fault]:
+    ) -> Result[CompleteAnswer, Fault]:
         sent = await self._targets.send(call, record)
         if sent.is_error():
             return sent
@@ -210,17 +212,19 @@
         body = await exchange.read()
         await exchange.close(reusable=body.is_ok())
         return body.map(
-            lambda whole: WholeAnswer(
-                exchange.facts.status, exchange.headers, whole, record.id
+            lambda content: CompleteAnswer(
+                exchange.facts.status, exchange.headers, content, record.id
             )
         )
 
-    def _note(self, record: TargetRecord, result: Result[WholeAnswer, Fault]) -> None:
+    def _note(
+        self, record: TargetRecord, result: Result[CompleteAnswer, Fault]
+    ) -> None:
         failed = _failed(result)
         self._failures.note(record.id, failed)
         if not failed:
             self._view.directory.clear(record.id)
 
 
-def _failed(result: Result[WholeAnswer, Fault]) -> bool:
+def _failed(result: Result[CompleteAnswer, Fault]) -> bool:
     return result.is_error() or result.ok.status >= SERVER_ERROR
--- a/radishfield/forwarding/_slow_targets.py
+++ b/radishfield/forwarding/_slow_targets.py
@@ -1,4 +1,4 @@
-"""Looks for targets that are slow and never down, by the streams that pass them."""
+"""Finds targets that are slow but not down, from the streams that use them."""
 
 from collections.abc import Iterable
 
@@ -10,53 +10,59 @@
 from radishfield.routing import NORMAL_PACE, TargetReport, path_ms
 from radishfield.telemetry import log_event
 
-LOOK_S = 0.25
-"""Pause between two looks: a stream has had five events in it, and a slow target is
-found within a second."""
-ASK_AGAIN_S = 1.0
-"""Pause between two questions for the pace of one target."""
-LEAST_PATH_S = 1e-4
+CHECK_INTERVAL_S = 0.25
+"""Interval between checks: a stream has five events in it, and a slow target is found
+within a second."""
+QUERY_INTERVAL_S = 1.0
+"""Interval between queries for the slowdown factor of one target."""
+MIN_PATH_S = 1e-4
 
 
 class SlowTargets:
-    """Asks the targets of slow streams for their pace, and keeps what they say."""
+    """Queries the targets of slow streams for their slowdown factors and keeps them."""
 
-    __slots__ = ("_asked_at_by_id", "_next_look_at", "_targets", "_view", "found")
+    __slots__ = (
+        "_queried_at_by_id",
+        "_next_check_at",
+        "_targets",
+        "_view",
+        "found_count",
+    )
 
     def __init__(self, targets: Targets, view: RouterView):
         self._targets = targets
         self._view = view
-        self._asked_at_by_id: dict[str, float] = {}
-        self._next_look_at = 0.0
-        self.found = 0
+        self._queried_at_by_id: dict[str, float] = {}
+        self._next_check_at = 0.0
+        self.found_count = 0
 
-    def look(self, streams: Iterable[ActiveStream], nursery: trio.Nursery) -> None:
-        """Ask a target of the streams that are slower than their paths explain.
+    def check(self, streams: Iterable[ActiveStream], nursery: trio.Nursery) -> None:
+        """Query a target of the streams that are slower than their paths explain.
 
-        One in each look: where all streams are slow it is the load, not a target, and
-        hundreds of hosts would ask in vain.
+        Only one target is queried per check: when all streams are slow, the cause is
+        load and not a target, and the queries of hundreds of hosts would be useless.
         """
         now, paces = self._view.clock.now(), self._view.paces
-        if now < self._next_look_at:
+        if now < self._next_check_at:
             return
-        self._next_look_at = now + LOOK_S
+        self._next_check_at = now + CHECK_INTERVAL_S
         paces.expire(now)
         wanted = self._targets_of_slow(streams)
         if self._view.watch_duty.on_duty:
             wanted += paces.to_ask(now)
         due = [target_id for target_id in set(wanted) if self._is_due(target_id, now)]
         if due:
-            # Hosts that see the same path slow ask different parts of it.
+            # Hosts with the same slow path query different stages of it.
             target_id = self._view.chance.choice(due)
-            self._asked_at_by_id[target_id] = now
-            nursery.start_soon(self._ask, target_id)
+            self._queried_at_by_id[target_id] = now
+            nursery.start_soon(self._query, target_id)
 
     def note(self, target_id: str, report: TargetReport) -> None:
-        """Keep a target's pace, and say so where it turned slow or well."""
+        """Record a target's slowdown factor; log it if it became slow or healthy."""
         if not self._view.paces.note(target_id, report.pace, self._view.clock.now()):
             return
         is_slow = report.pace > NORMAL_PACE
-        self.found += is_slow
+        self.found_count += is_slow
         log_event(
             "target.slow" if is_slow else "target.well",
             target=target_id,
@@ -72,28 +78,28 @@
                 continue
             path_s = self._path_s(stream)
             if paces.is_slow(stream.usual_gap_s, path_s):
-                found += [part.target_id for part in stream.path]
+                found += [stage.target_id for stage in stream.path]
             else:
                 paces.learn(stream.usual_gap_s, path_s)
         return found
 
     def _is_due(self, target_id: str, now: float) -> bool:
         known_ago_s = self._view.paces.age_s(target_id, now)
-        asked_ago_s = now - self._asked_at_by_id.get(target_id, -1e9)
-        return min(known_ago_s, asked_ago_s) >= ASK_AGAIN_S
+        last_query_age_s = now - self._queried_at_by_id.get(target_id, -1e9)
+        return min(known_ago_s, last_query_age_s) >= QUERY_INTERVAL_S
 
     def _path_s(self, stream: ActiveStream) -> float:
-        """Return what a token over a stream's path should take, in seconds."""
+        """Return the expected time of a token over a stream's path, in seconds."""
         directory = self._view.directory
         records = {
-            part.target_id: record
-            for part in stream.path
-            if (record := directory.find(part.target_id)) is not None
+            stage.target_id: record
+            for stage in stream.path
+            if (record := directory.find(stage.target_id)) is not None
         }
         expected_ms = path_ms(stream.engine, records, self._view.load, stream.path)
-        return max(LEAST_PATH_S, expected_ms / 1e3)
+        return max(MIN_PATH_S, expected_ms / 1e3)
 
-    async def _ask(self, target_id: str) -> None:
+    async def _query(self, target_id: str) -> None:
         record = self._view.directory.find(target_id)
         if record is None:
             return
--- a/radishfield/forwarding/_stream_paths.py
+++ b/radishfield/forwarding/_stream_paths.py
@@ -1,4 +1,4 @@
-"""Paths for streams: found at once, in line, or by a begun stream beside it."""
+"""Finds paths for streams: at once, in the queue, or outside it for started streams."""
 
 import trio
 from expression import Error, Ok, Result
@@ -6,7 +6,7 @@
 from radishfield.core import Fault, ResultCode, fault
 from radishfield.forwarding._call import Call
 from radishfield.forwarding._stream_progress import StreamProgress
-from radishfield.forwarding._stream_tries import NO_PATH_RETRY_S, StreamTries
+from radishfield.forwarding._stream_tries import NO_PATH_RETRY_S, StreamAttempts
 from radishfield.forwarding._view import RouterView
 from radishfield.routing import (
     AdmissionQueue,
@@ -20,21 +20,21 @@
     choose_target,
 )
 
-LOOK_AGAIN_S = 0.05
-LOOK_BESIDE_S = 0.1
-"""Pause between two looks for a path beside the line, each of which is a search."""
+RECHECK_S = 0.05
+UNQUEUED_RECHECK_S = 0.1
+"""Interval between checks for a path outside the queue, each of which is a search."""
 RESUMED_PRIORITY = -1
-"""Before the most urgent of the routes' own."""
+"""Ranks before the most urgent priority of any route."""
 LEAVING_RETRY_S = 0.1
-"""A new connection reaches another host at once."""
+"""A new connection immediately reaches another host."""
 WHOLE_MODEL = LayerSpan(0, 0)
-"""The span of a target that is sent no path: it runs whatever it has."""
+"""The span of a target that is sent no path and runs all layers that it has."""
 NO_FAILURES = FailureRates()
-"""Streams that fail go on elsewhere; their targets are judged by the watchdog."""
+"""Failed streams resume at other targets; the watchdog judges the failed targets."""
 
 
 class StreamPaths:
-    """Finds the paths of streams over the targets as this host sees them."""
+    """Finds paths for streams over the targets known to this host."""
 
     __slots__ = ("_view",)
 
@@ -46,63 +46,65 @@
         call: Call,
         engine: EngineSpec | None,
         progress: StreamProgress,
-        tries: StreamTries,
+        attempts: StreamAttempts,
     ) -> Result[Path, Fault]:
-        """Return a path, standing in line where all of them are full."""
+        """Return a path; wait in the queue if all paths are full."""
         if engine is None:
-            found = self._single_target(call, tries)
+            found = self._single_target(call, attempts)
         else:
-            found = await self._stand_in_line(call, engine, progress, tries)
-        if found.is_error() and progress.begun:
-            return await self._wait_beside(call, engine, progress, tries, found.error)
+            found = await self._wait_in_queue(call, engine, progress, attempts)
+        if found.is_error() and progress.has_started:
+            return await self._search_unqueued(
+                call, engine, progress, attempts, found.error
+            )
         return found
 
-    async def _wait_beside(
+    async def _search_unqueued(
         self,
         call: Call,
         engine: EngineSpec | None,
         progress: StreamProgress,
-        tries: StreamTries,
+        attempts: StreamAttempts,
         problem: Fault,
     ) -> Result[Path, Fault]:
-        """Look for a path of a begun stream until its caller leaves.
+        """Search for a path for a started stream until its caller times out.
 
-        It stands beside the line: those in it may find paths that this one can't use.
-        A target that broke an attempt is tried again, since no other one is left.
+        The stream does not wait in the queue: queued requests may find paths that it
+        can't use.  Targets of failed attempts are retried, since no others are left.
         """
         view, service = self._view, call.service.name
-        tries.excluded.clear()
-        while view.clock.now() < call.caller_leaves_at and not view.ends_waits():
+        attempts.excluded.clear()
+        while view.clock.now() < call.caller_timeout_at and not view.ends_waits():
             listed = view.directory.listed(service)
             if engine is not None and not _covered(listed, engine):
                 break
-            await trio.sleep(LOOK_BESIDE_S)
+            await trio.sleep(UNQUEUED_RECHECK_S)
             refusal = view.crash_refusal(call)
             if refusal is not None:
                 return Error(refusal)
             if engine is None:
-                found = self._single_target(call, tries)
+                found = self._single_target(call, attempts)
             else:
-                found = self._path_now(call, engine, progress, tries)
+                found = self._find_path(call, engine, progress, attempts)
                 found = Error(problem) if found is None else Ok(found)
             if found.is_ok():
                 return found
         return Error(problem)
 
-    async def _stand_in_line(
+    async def _wait_in_queue(
         self,
         call: Call,
         engine: EngineSpec,
         progress: StreamProgress,
-        tries: StreamTries,
+        attempts: StreamAttempts,
     ) -> Result[Path, Fault]:
         view = self._view
         queue = view.admission_queue(call.service.name)
-        path = None if len(queue) else self._path_now(call, engine, progress, tries)
+        path = None if len(queue) else self._find_path(call, engine, progress, attempts)
         if path is not None:
             return Ok(path)
-        # The caller of a stream that has begun is waiting for its next event.
-        priority = RESUMED_PRIORITY if progress.begun else call.priority
+        # The caller of a started stream is waiting for its next event.
+        priority = RESUMED_PRIORITY if progress.has_started else call.priority
         entry = queue.join(
             priority,
             call.workspace_name,
@@ -110,8 +112,8 @@
             call.route.caller_patience_s,
         )
         try:
-            if queue.is_hopeless(entry, view.clock.now()) and not progress.begun:
-                return Error(self._full(queue, entry))
+            if queue.is_hopeless(entry, view.clock.now()) and not progress.has_started:
+                return Error(self._full_fault(queue, entry))
             while True:
                 if not self._is_covered(call, engine):
                     detail = "layers are missing"
@@ -120,58 +122,60 @@
                 if refusal is not None:
                     return Error(refusal)
                 if queue.may_try(entry):
-                    path = self._path_now(call, engine, progress, tries)
+                    path = self._find_path(call, engine, progress, attempts)
                 if path is not None:
                     return Ok(path)
                 if view.ends_waits():
                     code = ResultCode.DRAINING
-                    return Error(fault(code, "host leaves", LEAVING_RETRY_S))
+                    return Error(fault(code, "host is leaving", LEAVING_RETRY_S))
                 if queue.has_expired(entry, view.clock.now()):
-                    return Error(self._full(queue, entry))
-                with trio.move_on_after(LOOK_AGAIN_S):
+                    return Error(self._full_fault(queue, entry))
+                with trio.move_on_after(RECHECK_S):
                     await view.room_freed.wait()
         finally:
             queue.leave(entry)
             call.times.queued_s += view.clock.now() - entry.since
 
-    def _single_target(self, call: Call, tries: StreamTries) -> Result[Path, Fault]:
-        """Return a path of one target, for a service whose targets serve alone."""
+    def _single_target(
+        self, call: Call, attempts: StreamAttempts
+    ) -> Result[Path, Fault]:
+        """Return a single-target path, for a service whose targets serve alone."""
         view = self._view
-        firsts = _firsts_left(call, view.directory)
+        first_ids = _allowed_first_ids(call, view.directory)
         usable = view.directory.usable(call.service.name, view.clock.now())
         record = choose_target(
-            [item for item in usable if firsts is None or item.id in firsts],
+            [item for item in usable if first_ids is None or item.id in first_ids],
             view.load,
             NO_FAILURES,
             view.zone,
-            tries.excluded if firsts is None else (),
+            attempts.excluded if first_ids is None else (),
             view.chance,
         )
         if record is None:
             return Error(fault(ResultCode.NO_TARGET, "", NO_PATH_RETRY_S))
         return Ok((PathPart(record.id, record.address, WHOLE_MODEL),))
 
-    def _path_now(
+    def _find_path(
         self,
         call: Call,
         engine: EngineSpec | None,
         progress: StreamProgress,
-        tries: StreamTries,
+        attempts: StreamAttempts,
     ) -> Path | None:
-        roomy = self._view.usable_with_room(call.service.name)
-        firsts = _firsts_left(call, self._view.directory)
-        # A first target whose attempt broke may be sound: a later part was not.
-        excluded = tries.excluded - (firsts or set())
-        pool = [record for record in roomy if record.id not in excluded]
+        with_capacity = self._view.usable_with_room(call.service.name)
+        first_ids = _allowed_first_ids(call, self._view.directory)
+        # A first target of a failed attempt may be healthy if a later stage failed.
+        excluded = attempts.excluded - (first_ids or set())
+        pool = [record for record in with_capacity if record.id not in excluded]
         finder = self._view.path_finder(call.service.name, engine)
-        reached = [item for item in pool if item.zone not in tries.unreached_zones]
+        reached = [item for item in pool if item.zone not in attempts.unreachable_zones]
         pools = [reached] if len(reached) == len(pool) else [reached, pool]
         for records in pools:
             path = finder.find(
                 records,
                 progress.demand(engine),
                 pace_by_id=self._view.paces.by_id(),
-                first_ids=firsts,
+                first_ids=first_ids,
             )
             if path is not None:
                 return path
@@ -182,42 +186,42 @@
         records = self._view.directory.usable(call.service.name, now)
         return _covered(records, engine)
 
-    def _full(self, queue: AdmissionQueue, entry: QueueEntry) -> Fault:
+    def _full_fault(self, queue: AdmissionQueue, entry: QueueEntry) -> Fault:
         now = self._view.clock.now()
         detail = f"full, {len(queue)} in queue, waited {now - entry.since:.2f} s"
         retry_s = queue.return_after_s(entry, now)
         return fault(ResultCode.DEADLINE_UNREACHABLE, detail, retry_s)
 
-    def leads_around(
+    def has_alternative(
         self, call: Call, engine: EngineSpec | None, first_id: str
     ) -> bool:
-        """Return whether there are targets for a path that begins elsewhere.
+        """Return whether there are targets for a path with another first target.
 
-        Their room is not asked for: some of it is what the attempt itself holds, and
-        all streams that wait for the same lost target hold theirs.
+        Their free capacity is not checked: the attempt itself holds some of it, as do
+        all streams that wait for the same unreachable target.
         """
         view, service = self._view, call.service.name
         usable = view.directory.usable(service, view.clock.now())
         others = [record for record in usable if record.id != first_id]
-        allowed = _firsts_left(call, view.directory)
+        allowed = _allowed_first_ids(call, view.directory)
         if allowed is not None:
             return any(record.id in allowed for record in others)
         return bool(others) if engine is None else _covered(others, engine)
 
 
-def _firsts_left(call: Call, directory: TargetDirectory) -> set[str] | None:
-    """Return the only targets that may see the request; None for any.
+def _allowed_first_ids(call: Call, directory: TargetDirectory) -> set[str] | None:
+    """Return the ids of targets that may still get the request; None for any.
 
-    A stream whose later parts fail may be sent on several times, but the route
-    limits how many targets see it.  Once so many have, it goes again to one of
-    them; those that ended meanwhile do not count.
+    A stream whose later stages fail may be resumed several times, but the route
+    limits how many targets see it.  At that limit the stream returns to one of
+    them; targets that have since left the directory do not count.
     """
     live = {name for name in call.ran_at if directory.find(name) is not None}
     return live if len(live) >= call.route.max_attempts else None
 
 
 def _covered(records, engine: EngineSpec) -> bool:
-    """Return whether the targets hold every layer, whatever room they have."""
+    """Return whether the targets hold every layer, whatever their free capacity."""
     spans = sorted(
         (record.span.first, record.span.end)
         for record in records
--- a/radishfield/forwarding/_stream_progress.py
+++ b/radishfield/forwarding/_stream_progress.py
@@ -1,11 +1,11 @@
-"""What of a stream its caller has."""
+"""Tracks which events of a stream were sent to its caller."""
 
 from radishfield.forwarding._call import Call
 from radishfield.routing import Demand, EngineSpec, event_ids
 
 
 class StreamProgress:
-    """What of a stream the caller has."""
+    """Tracks the events of a stream that were sent to the caller."""
 
     __slots__ = ("_call", "_events", "last_id")
 
@@ -16,18 +16,18 @@
         self.last_id: int | None = int(given) if given.isdigit() else None
 
     @property
-    def begun(self) -> bool:
-        """Return whether the caller has any event of this answer."""
+    def has_started(self) -> bool:
+        """Return whether any event of this answer was sent to the caller."""
         return self._events > 0
 
     def resume_after(self) -> bytes:
-        """Return the id after which a target is to go on; empty for the start."""
+        """Return the id after which a target should resume; empty for the start."""
         if self._events == 0:
             return self._call.facts.last_event_id
         return b"" if self.last_id is None else str(self.last_id).encode()
 
-    def follows(self, events: bytes) -> bool:
-        """Return whether events go on right after what the caller has."""
+    def continues(self, events: bytes) -> bool:
+        """Return whether events follow directly on those sent to the caller."""
         expected = self.last_id
         for event_id in event_ids(events):
             if expected is not None and event_id != expected + 1:
@@ -35,8 +35,8 @@
             expected = event_id
         return True
 
-    def passed(self, events: bytes) -> int:
-        """Note events that went out to the caller; return how many."""
+    def note_sent(self, events: bytes) -> int:
+        """Record events that were sent to the caller; return their number."""
         ids = event_ids(events)
         self._events += len(ids)
         if ids:
@@ -44,7 +44,7 @@
         return len(ids)
 
     def demand(self, engine: EngineSpec | None) -> Demand:
-        """Return what the request will fill at each target of its path."""
+        """Return the tokens that the request will hold at each target of its path."""
         facts = self._call.facts
         if engine is None:
             return Demand(facts.prompt_tokens, facts.likely_answer_tokens)
--- a/radishfield/forwarding/_stream_tries.py
+++ b/radishfield/forwarding/_stream_tries.py
@@ -1,89 +1,89 @@
-"""What came of the attempts of one stream, and whether another may follow."""
+"""Outcomes of the attempts of one stream, and whether another attempt may follow."""
 
 import msgspec
 from expression import Result
 
 from radishfield.core import Fault, ResultCode
 from radishfield.forwarding._call import Call
-from radishfield.forwarding._tries import Tries, target_error
+from radishfield.forwarding._tries import Attempts, target_error
 from radishfield.forwarding._view import FULL_S, LONGEST_FULL_S
 from radishfield.routing import RouteRule
 
 NO_PATH_RETRY_S = 0.8
-MORE_REFUSALS = 3
-MORE_RESUMES = 2
-"""Resumes beside the attempts of the route where the earlier target was lost."""
+MAX_REFUSALS = 3
+EXTRA_RESUMES = 2
+"""Resumes allowed beyond the route's attempts if the earlier target is unreachable."""
 
 
-class WholeFailure(msgspec.Struct, frozen=True):
-    """A target's own answer that is no stream."""
+class TargetFailure(msgspec.Struct, frozen=True):
+    """An answer of a target that is an error and not a stream."""
 
     status: int
     headers: list
     body: bytes
 
 
-class StreamTries(Tries):
-    """The attempts of one stream; keeps the first targets that broke one.
+class StreamAttempts(Attempts):
+    """The attempts of one stream, with the first targets of failed attempts.
 
     Attributes
     ----------
     excluded : set of str
-        First targets that broke an attempt.
-    unreached_zones : set of str
-        Other zones of which a target could not be reached.
+        First targets of failed attempts.
+    unreachable_zones : set of str
+        Other zones with a target that could not be reached.
     """
 
-    __slots__ = ("excluded", "unreached_zones")
+    __slots__ = ("excluded", "unreachable_zones")
 
     def __init__(self):
         super().__init__(NO_PATH_RETRY_S)
         self.excluded: set[str] = set()
-        self.unreached_zones: set[str] = set()
+        self.unreachable_zones: set[str] = set()
 
-    def leave_zone(self, zone: str) -> None:
-        """Keep to other zones from now on.
+    def avoid_zone(self, zone: str) -> None:
+        """Prefer other zones for later attempts.
 
-        Load pattern: a zone is cut off that holds the fastest targets.  Each path
-        that was cheapest begins at another one of them, and a stream that tries one
-        after the other is refused although its own zone could serve it.
+        When the zone with the fastest targets is partitioned, each cheapest path
+        starts at another one of them.  A stream that tries them one by one is refused
+        although its own zone could serve it.
         """
-        self.unreached_zones.add(zone)
+        self.unreachable_zones.add(zone)
 
-    def take(self, result: Result[WholeFailure, Fault], first_id: str) -> None:
-        """Note an attempt that failed, with the first target of its path."""
+    def note_failure(self, result: Result[TargetFailure, Fault], first_id: str) -> None:
+        """Record a failed attempt, with the first target of its path."""
         failed = target_error(result.ok.status) if result.is_ok() else result.error
         self.count(failed)
-        # A target that refused for want of room may have some in a moment.
+        # A target that refused for lack of capacity may soon have some again.
         if self.problem.code is not ResultCode.TARGET_REFUSED:
             self.excluded.add(first_id)
 
-    def over(self, call: Call, now: float) -> bool:
+    def is_exhausted(self, call: Call, now: float) -> bool:
         """Return whether no further attempt is made.
 
-        Refusals end a stream that has begun only once its caller leaves: nothing ran,
-        and the caller has no use for half an answer.
+        Refusals end a started stream only when its caller times out: nothing ran, and
+        the caller cannot use a truncated answer.
         """
         route = call.route
         if self.runs and not route.repeatable:
             return True
-        most_runs = route.max_attempts
+        max_runs = route.max_attempts
         if self.problem.code is not ResultCode.TARGET_ERROR:
-            most_runs += MORE_RESUMES
-        if self.runs >= most_runs:
+            max_runs += EXTRA_RESUMES
+        if self.runs >= max_runs:
             return True
-        if self.refusals <= MORE_REFUSALS:
+        if self.refusals <= MAX_REFUSALS:
             return False
-        return not call.responder.started or now >= call.caller_leaves_at
+        return not call.responder.started or now >= call.caller_timeout_at
 
     def pause_s(self) -> float:
         """Return the pause before the next attempt, longer after many refusals.
 
-        Each of them is a repeat that another stream lacks.
+        Each retry uses retry budget that another stream then lacks.
         """
-        more = self.refusals - MORE_REFUSALS
-        return min(LONGEST_FULL_S, FULL_S * 2 ** (more - 1)) if more > 0 else 0.0
+        excess = self.refusals - MAX_REFUSALS
+        return min(LONGEST_FULL_S, FULL_S * 2 ** (excess - 1)) if excess > 0 else 0.0
 
-    def allows_another(self, route: RouteRule) -> bool:
-        """Return whether an attempt that runs may be followed by another one."""
-        return route.repeatable and self.runs + 1 < route.max_attempts + MORE_RESUMES
+    def allows_retry(self, route: RouteRule) -> bool:
+        """Return whether another attempt may follow the running one."""
+        return route.repeatable and self.runs + 1 < route.max_attempts + EXTRA_RESUMES
--- a/radishfield/forwarding/_streams.py
+++ b/radishfield/forwarding/_streams.py
@@ -1,4 +1,4 @@
-"""Streams over paths of layered targets, kept going while parts of them fail."""
+"""Forwards streams over paths of layered targets and resumes them when stages fail."""
 
 from contextlib import aclosing
 
@@ -6,16 +6,16 @@
 from expression import Error, Ok, Result
 
 from radishfield.core import Fault, ResultCode, fault
-from radishfield.forwarding._active_stream import ActiveStream, path_words
+from radishfield.forwarding._active_stream import ActiveStream, format_path
 from radishfield.forwarding._call import Call
 from radishfield.forwarding._connections import BrokenAnswerError, Exchange
 from radishfield.forwarding._crash_watch import CrashWatch
-from radishfield.forwarding._stream_paths import LOOK_AGAIN_S, StreamPaths
+from radishfield.forwarding._stream_paths import RECHECK_S, StreamPaths
 from radishfield.forwarding._stream_progress import StreamProgress
 from radishfield.forwarding._stream_tries import (
     NO_PATH_RETRY_S,
-    StreamTries,
-    WholeFailure,
+    StreamAttempts,
+    TargetFailure,
 )
 from radishfield.forwarding._targets import Targets, final_fault
 from radishfield.forwarding._view import RouterView
@@ -28,8 +28,8 @@
 from radishfield.telemetry import DeferredTelemetry, log_event
 
 LATE_RETRY_SHARE = 0.5
-"""Part of a usual stream's length after which a caller that ran out of time may come
-back: half of those that held the places then have ended."""
+"""Share of a typical stream's duration after which a caller whose deadline passed may
+retry: by then, half of the streams that held the capacity have ended."""
 OK_STATUS = 200
 
 
@@ -65,7 +65,7 @@
         progress = StreamProgress(call)
         with trio.move_on_after(call.deadline_at - self._view.clock.now()):
             try:
-                problem = await self._until_ended(call, progress)
+                problem = await self._run_attempts(call, progress)
             finally:
                 self._targets.release_repeat(call)
             if problem is not None:
@@ -78,56 +78,58 @@
         retry_s = LATE_RETRY_SHARE * queue.usual_stream_s
         await call.responder.refuse(fault(code, "", retry_s))
 
-    async def _until_ended(self, call: Call, progress: StreamProgress) -> Fault | None:
-        """Try paths until the stream is whole; return why it is not."""
+    async def _run_attempts(self, call: Call, progress: StreamProgress) -> Fault | None:
+        """Try paths until the stream is complete; return why it is not."""
         engine = call.service.engine
-        tries = StreamTries()
+        attempts = StreamAttempts()
         while True:
             await self._view.crashes.settle(call.digest, call.deadline_at)
             stop = self._targets.check(call)
             if stop is not None:
                 return final_fault(call, stop, NO_PATH_RETRY_S)
-            placed = await self._paths.find(call, engine, progress, tries)
-            if placed.is_error():
-                return final_fault(call, placed.error, NO_PATH_RETRY_S)
-            # It may have waited: its key or its route may be gone by now.
+            found = await self._paths.find(call, engine, progress, attempts)
+            if found.is_error():
+                return final_fault(call, found.error, NO_PATH_RETRY_S)
+            # The call may have waited; its key or route may be removed by now.
             stop = self._targets.check(call)
             if stop is not None:
                 return final_fault(call, stop, NO_PATH_RETRY_S)
-            if call.sent and not self._targets.may_repeat(call, tries.problem):
-                if await self._repeat_is_freed(call):
+            if call.sent and not self._targets.may_repeat(call, attempts.problem):
+                if await self._wait_for_retry(call):
                     continue
-                return final_fault(call, tries.problem, NO_PATH_RETRY_S)
-            result = await self._attempt(call, engine, placed.ok, progress, tries)
+                return final_fault(call, attempts.problem, NO_PATH_RETRY_S)
+            result = await self._attempt(call, engine, found.ok, progress, attempts)
             if result.is_ok() and result.ok is None:
                 return None
-            self._note_unreached(tries, result, placed.ok[0].target_id)
-            tries.take(result, placed.ok[0].target_id)
-            if not tries.over(call, self._view.clock.now()):
-                await trio.sleep(tries.pause_s())
+            self._note_unreachable(attempts, result, found.ok[0].target_id)
+            attempts.note_failure(result, found.ok[0].target_id)
+            if not attempts.is_exhausted(call, self._view.clock.now()):
+                await trio.sleep(attempts.pause_s())
                 continue
             if result.is_error():
                 await self._view.crashes.settle(call.digest, call.deadline_at)
-                problem = self._view.crash_refusal(call) or tries.problem
+                problem = self._view.crash_refusal(call) or attempts.problem
                 return final_fault(call, problem, NO_PATH_RETRY_S)
             if call.responder.started:
-                return tries.problem
-            # The target's own failure, with its signature.
+                return attempts.problem
+            # Forward the target's own error answer, with its signature.
             answer = result.ok
-            await call.responder.whole(answer.status, answer.headers, answer.body)
+            await call.responder.send_complete(
+                answer.status, answer.headers, answer.body
+            )
             return None
 
-    async def _repeat_is_freed(self, call: Call) -> bool:
-        """Wait for a repeat for as long as the caller of a begun stream waits.
+    async def _wait_for_retry(self, call: Call) -> bool:
+        """Wait for retry budget until the caller of a started stream times out.
 
-        Load pattern: a zone is cut off, all hosts repeat at once, and the allowance is
-        spent for some tenths of a second.  Ended then, each of their streams would
-        reach its caller in half.
+        When a zone is partitioned, all hosts retry at once, and the retry budget is
+        spent for some tenths of a second.  Streams that ended then would all reach
+        their callers truncated.
         """
         if not call.responder.started:
             return False
-        while self._view.clock.now() < call.caller_leaves_at:
-            await trio.sleep(LOOK_AGAIN_S)
+        while self._view.clock.now() < call.caller_timeout_at:
+            await trio.sleep(RECHECK_S)
             if self._targets.reserve_repeat(call):
                 return True
         return False
@@ -137,38 +139,39 @@
         call: Call,
         engine: EngineSpec | None,
         progress: StreamProgress,
-        tries: StreamTries,
+        attempts: StreamAttempts,
         first_id: str,
     ) -> str:
-        """Return what keeps a stream from going on at another path; empty if nothing.
+        """Return why a stream can't resume on another path; empty if it can.
 
-        One that has not begun may always end: its caller gets an answer that says so.
+        An attempt of a stream that has not started may always end: the caller gets an
+        answer that reports the failure.
         """
         if not call.responder.started:
             return ""
-        if not tries.allows_another(call.route):
+        if not attempts.allows_retry(call.route):
             return "no attempt left"
         stop = self._targets.check(call)
         if stop is not None:
             return stop.detail or stop.code.name.lower()
-        if not self._paths.leads_around(call, engine, first_id):
+        if not self._paths.has_alternative(call, engine, first_id):
             return "no other path"
         if not self._targets.reserve_repeat(call):
-            return "no repeat left"
+            return "no retry budget left"
         return ""
 
-    def _note_unreached(
+    def _note_unreachable(
         self,
-        tries: StreamTries,
-        result: Result[WholeFailure | None, Fault],
+        attempts: StreamAttempts,
+        result: Result[TargetFailure | None, Fault],
         first_id: str,
     ) -> None:
-        """Note the zone of a first target that could not be reached."""
+        """Record the zone of a first target that could not be reached."""
         if result.is_ok() or result.error.code is not ResultCode.CONNECT_FAILED:
             return
         record = self._view.directory.find(first_id)
         if record is not None and record.zone != self._view.zone:
-            tries.leave_zone(record.zone)
+            attempts.avoid_zone(record.zone)
 
     async def _attempt(
         self,
@@ -176,11 +179,15 @@
         engine: EngineSpec | None,
         path: Path,
         progress: StreamProgress,
-        tries: StreamTries,
-    ) -> Result[WholeFailure | None, Fault]:
+        attempts: StreamAttempts,
+    ) -> Result[TargetFailure | None, Fault]:
         record = self._view.directory.find(path[0].target_id)
         if record is None:
-            return Error(fault(ResultCode.TARGET_REFUSED, "left before the send"))
+            return Error(
+                fault(
+                    ResultCode.TARGET_REFUSED, "target left before the request was sent"
+                )
+            )
         now = self._view.clock.now()
         stream = ActiveStream(
             call,
@@ -188,7 +195,9 @@
             progress.demand(engine),
             path,
             now,
-            lambda: self._prepare_successor(call, engine, progress, tries, record.id),
+            lambda: self._prepare_successor(
+                call, engine, progress, attempts, record.id
+            ),
         )
         stream.may_resume = call.route.repeatable
         queue = self._view.admission_queue(call.service.name)
@@ -199,7 +208,7 @@
         log_event(
             "attempt.sent",
             request=call.facts.request_id,
-            path=path_words(path),
+            path=format_path(path),
             resumed_after=progress.last_id,
             directory_version=self._view.directory.version,
         )
@@ -208,10 +217,10 @@
             with stream.scope, self._view.crashes.running(call.digest, stream.stop):
                 result = await self._relay(call, record, stream, progress)
             if call.responder.finished:
-                # Given up in the turn in which its end was passed on.
+                # The attempt was abandoned while the end of its stream was forwarded.
                 result = Ok(None)
             elif stream.scope.cancelled_caught:
-                result = Error(fault(ResultCode.STREAM_SILENT, stream.given_up))
+                result = Error(fault(ResultCode.STREAM_SILENT, stream.abandon_reason))
         finally:
             ended_at = self._view.clock.now()
             queue.ended(call.workspace_name, ended_at, ended_at - now)
@@ -230,7 +239,7 @@
 
     async def _relay(
         self, call: Call, record, stream: ActiveStream, progress: StreamProgress
-    ) -> Result[WholeFailure | None, Fault]:
+    ) -> Result[TargetFailure | None, Fault]:
         sent = await self._targets.send(
             call,
             record,
@@ -240,23 +249,23 @@
         if sent.is_error():
             return sent
         exchange = sent.ok
-        whole = False
+        is_complete = False
         try:
             if exchange.facts.status != OK_STATUS:
                 body = await exchange.read()
-                whole = body.is_ok()
+                is_complete = body.is_ok()
                 return body.map(
-                    lambda text: WholeFailure(
+                    lambda text: TargetFailure(
                         exchange.facts.status, exchange.headers, text
                     )
                 )
-            result = await self._pass_events(call, exchange, stream, progress)
-            whole = result.is_ok()
+            result = await self._forward_events(call, exchange, stream, progress)
+            is_complete = result.is_ok()
             return result
         finally:
-            await exchange.close(reusable=whole)
+            await exchange.close(reusable=is_complete)
 
-    async def _pass_events(
+    async def _forward_events(
         self,
         call: Call,
         exchange: Exchange,
@@ -270,18 +279,20 @@
                     events = splitter.feed(chunk)
                     if not events:
                         continue
-                    if not progress.follows(events):
+                    if not progress.continues(events):
                         detail = f"event out of order after {progress.last_id}"
                         return Error(fault(ResultCode.MALFORMED_ANSWER, detail))
-                    await self._pass_on(call, exchange, stream, events)
-                    count = progress.passed(events)
-                    call.times.passed(count, call.arrived_at, stream.heard_at)
+                    await self._forward(call, exchange, stream, events)
+                    count = progress.note_sent(events)
+                    call.times.note_sent(
+                        count, call.arrived_at, stream.last_progress_at
+                    )
         except BrokenAnswerError as problem:
             return Error(fault(ResultCode.STREAM_BROKEN, str(problem)))
         if splitter.torn:
             return Error(fault(ResultCode.ANSWER_TRUNCATED, "ended within an event"))
         if not stream.has_events:
-            # Resumed after its last event, a stream has nothing left to send.
+            # A stream that is resumed after its last event has nothing left to send.
             if not (progress.resume_after() and exchange.facts.framed):
                 return Error(fault(ResultCode.ANSWER_TRUNCATED, "ended without events"))
             await self._start(call, exchange)
@@ -295,20 +306,20 @@
             status = exchange.facts.status
             await call.responder.start_stream(status, exchange.headers)
 
-    async def _pass_on(
+    async def _forward(
         self, call: Call, exchange: Exchange, stream: ActiveStream, events: bytes
     ) -> None:
         outlived_before = stream.outlived_start
-        stream.heard(self._view.clock.now())
+        stream.note_event(self._view.clock.now())
         if stream.outlived_start and not outlived_before:
             self._view.crashes.outlived(call.digest, call.facts.request_id)
         if call.responder.started:
-            await call.responder.events(events)
+            await call.responder.send_events(events)
             return
-        # The head waits for the first event: until then another target can take
-        # over without the caller having seen anything.  Neither goes out alone.
+        # The head is held until the first event: before that, another target can take
+        # over unnoticed by the caller.  Head and first event are sent together.
         await trio.lowlevel.checkpoint_if_cancelled()
-        self._telemetry.first_token(stream.heard_at - call.arrived_at)
+        self._telemetry.first_token(stream.last_progress_at - call.arrived_at)
         with trio.CancelScope(shield=True):
             await self._start(call, exchange)
-            await call.responder.events(events)
+            await call.responder.send_events(events)
--- a/radishfield/forwarding/_tries.py
+++ b/radishfield/forwarding/_tries.py
@@ -1,15 +1,15 @@
-"""What came of the attempts of one request so far."""
+"""Outcomes of the attempts of one request."""
 
 from radishfield.core import Fault, Outcome, ResultCode, fault
 
 
-class Tries:
+class Attempts:
     """The last failure, and how many attempts may have run.
 
     Attributes
     ----------
     refusals, runs : int
-        Attempts that are known not to have run, and the others.
+        Attempts that are known not to have run, and those that may have.
     """
 
     __slots__ = ("problem", "refusals", "runs")
@@ -20,7 +20,7 @@
         self.runs = 0
 
     def count(self, problem: Fault) -> None:
-        """Note an attempt that failed."""
+        """Count a failed attempt."""
         self.problem = problem
         if problem.outcome is Outcome.NOT_RUN:
             self.refusals += 1
@@ -29,5 +29,5 @@
 
 
 def target_error(status: int) -> Fault:
-    """Return the fault of a target's own failing answer."""
+    """Return the fault for an error status that a target answered with."""
     return fault(ResultCode.TARGET_ERROR, f"status {status}")
--- a/radishfield/forwarding/_watchdog.py
+++ b/radishfield/forwarding/_watchdog.py
@@ -1,12 +1,12 @@
-"""The watchdog that looks after streams in flight which fall silent."""
+"""Watchdog that detects stalled streams and moves them to other paths."""
 
 import msgspec
 import trio
 from expression import Result
 
 from radishfield.core import Clock, Fault, ResultCode
-from radishfield.forwarding._active_stream import ActiveStream, path_words
-from radishfield.forwarding._questions import TargetQuestions
+from radishfield.forwarding._active_stream import ActiveStream, format_path
+from radishfield.forwarding._questions import TargetProber
 from radishfield.forwarding._slow_targets import SlowTargets
 from radishfield.forwarding._targets import REPORT_TIMEOUT_S, Targets, order_status
 from radishfield.forwarding._view import RouterView
@@ -24,42 +24,42 @@
 )
 from radishfield.telemetry import log_event
 
-TICK_S = 0.03
-"""Shortest pause between two looks: half of the shortest silence that is acted on."""
-LONGEST_TICK_S = 0.1
-"""A stream that begins right after a look is not silent for longer than this before
-the next one; lost targets are asked as soon."""
+MIN_TICK_S = 0.03
+"""Minimum pause between checks: half of the shortest silence that is acted on."""
+MAX_TICK_S = 0.1
+"""Maximum pause between checks: a stream that starts right after a check is not silent
+for longer than this before the next, and unreachable targets are queried as often."""
 LATE_TICK_S = 0.05
-"""A look that comes this late says that this process was held up: events lie unread
-in its sockets, and every stream would seem silent."""
-PROBE_AGAIN_S = 0.1
+"""A check that is this late shows that this process was blocked: events are unread in
+its sockets, and every stream would seem silent."""
+PROBE_INTERVAL_S = 0.1
 """Pause between two probes of a target that answers."""
 MEASURE_ZONE_S = 10.0
-"""Age of a zone's last answer after which one of its targets is asked, so that the
-usual answer time is known when it is needed."""
-MEASURE_LOOK_S = 1.0
-"""Pause between two looks for such zones."""
-REPATH_TRIES = 3
-ASKED_AT_ONCE = 3
-"""Lost targets that are asked in one look: a host that is cut off from all of them
-must not spend its time on asking."""
-LEFT_TO_OTHERS_S = 3.0
-"""Time for which a lost target is left to the hosts of the zone that follow the store,
-which ask it and tell of its answer.  Asked by each of two hundred hosts once a second,
-the targets of a zone that is cut off get eight thousand questions a second."""
-MOVED = (200, 202)
+"""Age of a zone's last answer after which one of its targets is queried, so that the
+typical answer time is known when it is needed."""
+MEASURE_INTERVAL_S = 1.0
+"""Pause between two checks for such zones."""
+REPATH_ATTEMPTS = 3
+MAX_QUERIES = 3
+"""Unreachable targets that are queried in one check: a host that is disconnected from
+all targets must not spend its time on queries."""
+DELEGATED_S = 3.0
+"""Time for which an unreachable target is left to the hosts of the zone that follow the
+store, which query it and report its answer.  If each of two hundred hosts queries them
+once a second, the targets of a partitioned zone get eight thousand queries a second."""
+REPATHED_STATUSES = (200, 202)
 
 
 class StreamWatchdog:
-    """Looks at every stream a few times a second."""
+    """Checks every stream several times a second."""
 
     __slots__ = (
-        "_asked_at_by_id",
+        "_queried_at_by_id",
         "_clock",
         "_measure_at",
         "_nursery",
         "_probed_at_by_id",
-        "_questions",
+        "_prober",
         "_slow_targets",
         "_streams",
         "_targets",
@@ -72,9 +72,9 @@
         self._view = view
         self._clock: Clock = view.clock
         self._streams: set[ActiveStream] = set()
-        self._questions = TargetQuestions(targets, view, self._heard_since)
+        self._prober = TargetProber(targets, view, self._has_event_since)
         self.unheard = 0
-        self._asked_at_by_id: dict[str, float] = {}
+        self._queried_at_by_id: dict[str, float] = {}
         self._probed_at_by_id: dict[str, float] = {}
         self._measure_at = 0.0
         self._slow_targets = SlowTargets(targets, view)
@@ -82,11 +82,11 @@
 
     @property
     def slow_found(self) -> int:
-        """Return how often a target was found slower than its kind."""
-        return self._slow_targets.found
+        """Return how often a target was found slower than others of its kind."""
+        return self._slow_targets.found_count
 
     def add(self, stream: ActiveStream) -> None:
-        """Watch a stream and count its work at the targets of its path."""
+        """Watch a stream and add its load to the targets of its path."""
         self._streams.add(stream)
         self._count(stream, stream.path, self._view.load.started)
 
@@ -101,34 +101,34 @@
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             task_status.started()
-            pause_s = TICK_S
+            pause_s = MIN_TICK_S
             while True:
-                looked_at = self._clock.now()
+                checked_at = self._clock.now()
                 await trio.sleep(pause_s)
-                if self._clock.now() - looked_at >= pause_s + LATE_TICK_S:
+                if self._clock.now() - checked_at >= pause_s + LATE_TICK_S:
                     continue
                 silence_by_stream = self._silences()
-                self._look(silence_by_stream)
-                self._probe_quiet(silence_by_stream)
-                more_lost = self._ask_lost()
+                self._check_streams(silence_by_stream)
+                self._probe_silent(silence_by_stream)
+                has_more_due = self._query_unreachable()
                 self._measure_zones()
-                self._slow_targets.look(self._streams, nursery)
+                self._slow_targets.check(self._streams, nursery)
                 silences = silence_by_stream.values()
-                pause_s = next_look_s(silences, TICK_S, LONGEST_TICK_S)
-                if more_lost:
-                    pause_s = TICK_S
+                pause_s = next_look_s(silences, MIN_TICK_S, MAX_TICK_S)
+                if has_more_due:
+                    pause_s = MIN_TICK_S
 
     def _silences(self) -> dict[ActiveStream, StreamSilence]:
-        """Return how each stream stands whose path is not being changed."""
+        """Return the state of each stream whose path is not being changed."""
         now = self._clock.now()
         return {
             stream: stream.silence(now) for stream in self._streams if not stream.moving
         }
 
-    def _probe_quiet(
+    def _probe_silent(
         self, silence_by_stream: dict[ActiveStream, StreamSilence]
     ) -> None:
-        """Probe the targets whose streams have all fallen silent."""
+        """Probe the targets whose streams are all silent."""
         now = self._clock.now()
         silences = [
             silence
@@ -136,125 +136,129 @@
             if stream.engine is not None
         ]
         for target_id in targets_to_probe(silences):
-            if now - self._probed_at_by_id.get(target_id, -1e9) < PROBE_AGAIN_S:
+            if now - self._probed_at_by_id.get(target_id, -1e9) < PROBE_INTERVAL_S:
                 continue
             if not self._view.directory.suspected(target_id, now):
                 self._probed_at_by_id[target_id] = now
                 self._nursery.start_soon(self._probe, target_id)
 
     def _measure_zones(self) -> None:
-        """Ask one target of each zone that has not answered for a while."""
+        """Query one target of each zone without a recent answer."""
         now = self._clock.now()
         if now < self._measure_at:
             return
-        self._measure_at = now + MEASURE_LOOK_S
+        self._measure_at = now + MEASURE_INTERVAL_S
         due = {
             record.zone: record
             for record in self._view.directory.all_records()
             if record.span is not None
-            and self._questions.unanswered_s(record.zone) > MEASURE_ZONE_S
+            and self._prober.last_answer_age_s(record.zone) > MEASURE_ZONE_S
             and not self._view.directory.suspected(record.id, now)
         }
         for zone, record in due.items():
-            self._questions.note_asked(zone)
+            self._prober.note_query(zone)
             self._nursery.start_soon(self._measure, record)
 
     async def _measure(self, record: TargetRecord) -> None:
-        asked_at = self._clock.now()
+        sent_at = self._clock.now()
         report = await self._targets.report(record)
         if report.is_ok():
-            answer_s = self._clock.now() - asked_at
-            self._questions.note_answer(record.zone, answer_s)
+            answer_s = self._clock.now() - sent_at
+            self._prober.note_answer(record.zone, answer_s)
 
     async def _probe(self, target_id: str) -> None:
-        """Ask a target whether it lives; move its streams away if it does not."""
+        """Probe a target; move its streams to other targets if it does not answer."""
         record = self._view.directory.find(target_id)
         if record is None:
             return
-        asked_at = self._clock.now()
-        limit_s = self._questions.probe_limit_s(record.zone)
-        report = await self._questions.ask(record, limit_s, self._nursery)
-        waited_s = self._clock.now() - asked_at
+        sent_at = self._clock.now()
+        limit_s = self._prober.probe_limit_s(record.zone)
+        report = await self._prober.probe(record, limit_s, self._nursery)
+        waited_s = self._clock.now() - sent_at
         if report is None:
-            self._log_unheard(target_id, waited_s)
+            self._log_no_verdict(target_id, waited_s)
         elif report.is_ok():
-            self._questions.note_answer(record.zone, waited_s)
-            self._take_report(target_id, report.ok)
-        elif not _proves_life(report.error):
-            self._lose_first(target_id, f"probe: {report.error.detail}", waited_s)
+            self._prober.note_answer(record.zone, waited_s)
+            self._handle_report(target_id, report.ok)
+        elif not _answered(report.error):
+            self._drop_first_target(
+                target_id, f"probe: {report.error.detail}", waited_s
+            )
             self._lose_part(record.address)
 
-    def _heard_since(self, target_id: str, asked_at: float) -> bool:
-        """Return whether an event came through a target after it was asked."""
+    def _has_event_since(self, target_id: str, sent_at: float) -> bool:
+        """Return whether an event arrived through a target after a query was sent."""
         return any(
-            stream.has_events and stream.heard_at > asked_at
+            stream.has_events and stream.last_progress_at > sent_at
             for stream in self._streams
-            if any(part.target_id == target_id for part in stream.path)
+            if any(stage.target_id == target_id for stage in stream.path)
         )
 
-    def _log_unheard(self, target_id: str, waited_s: float) -> None:
+    def _log_no_verdict(self, target_id: str, waited_s: float) -> None:
         self.unheard += 1
         log_event("target.unheard", target=target_id, waited_s=round(waited_s, 3))
 
-    def _ask_lost(self) -> bool:
-        """Ask targets that are left out whether they answer again.
+    def _query_unreachable(self) -> bool:
+        """Query excluded targets to find those that answer again.
 
         Returns
         -------
         bool
-            Whether more of them are due than are asked in one look.
+            Whether more targets are due than are queried in one check.
         """
         now = self._clock.now()
-        patience_s = 0.0 if self._view.watch_duty.on_duty else LEFT_TO_OTHERS_S
-        due = self._view.directory.to_ask(now, patience_s)
-        for target_id in due[:ASKED_AT_ONCE]:
+        min_age_s = 0.0 if self._view.watch_duty.on_duty else DELEGATED_S
+        due = self._view.directory.to_ask(now, min_age_s)
+        for target_id in due[:MAX_QUERIES]:
             self._view.directory.asked(target_id, now)
             self._nursery.start_soon(self._ask, target_id)
-        return len(due) > ASKED_AT_ONCE
+        return len(due) > MAX_QUERIES
 
-    def _look(self, silence_by_stream: dict[ActiveStream, StreamSilence]) -> None:
+    def _check_streams(
+        self, silence_by_stream: dict[ActiveStream, StreamSilence]
+    ) -> None:
         now = self._clock.now()
         for stream, silence in silence_by_stream.items():
             first_id = stream.path[0].target_id
-            asked_ago_s = now - self._asked_at_by_id.get(first_id, -1e9)
-            match next_step(silence, asked_ago_s, stream.may_resume):
+            last_query_age_s = now - self._queried_at_by_id.get(first_id, -1e9)
+            match next_step(silence, last_query_age_s, stream.may_resume):
                 case Ask() if stream.engine is not None:
-                    self._asked_at_by_id[first_id] = now
+                    self._queried_at_by_id[first_id] = now
                     self._nursery.start_soon(self._ask, first_id)
-                case GiveUp() if self._give_up(stream, "silent"):
+                case GiveUp() if self._abandon(stream, "silent"):
                     log_event(
                         "stream.silent",
                         request=stream.call.facts.request_id,
                         silent_s=round(silence.silent_s, 2),
                         events=stream.has_events,
-                        path=path_words(stream.path),
+                        path=format_path(stream.path),
                     )
 
     async def _ask(self, first_id: str) -> None:
-        record, asked_at = self._view.directory.find(first_id), self._clock.now()
+        record, sent_at = self._view.directory.find(first_id), self._clock.now()
         if record is None:
-            # Off the list it serves what it has to the end, or its connections break.
+            # A delisted target finishes its streams, or its connections break.
             return
         if self._view.directory.found_lost(first_id):
-            # It is left out already: only its answer would tell anything new.
+            # The target is excluded already, so only an answer is new information.
             report = await self._targets.report(record)
         else:
-            report = await self._questions.ask(record, REPORT_TIMEOUT_S, self._nursery)
-        waited_s = self._clock.now() - asked_at
+            report = await self._prober.probe(record, REPORT_TIMEOUT_S, self._nursery)
+        waited_s = self._clock.now() - sent_at
         if report is None:
-            self._log_unheard(first_id, waited_s)
+            self._log_no_verdict(first_id, waited_s)
             return
-        if report.is_error() and _proves_life(report.error):
+        if report.is_error() and _answered(report.error):
             self._view.directory.answered(first_id, self._clock.now())
             return
         if report.is_error():
-            self._lose_first(first_id, report.error.detail, waited_s)
+            self._drop_first_target(first_id, report.error.detail, waited_s)
             return
         self._view.directory.answered(first_id, self._clock.now())
-        self._take_report(first_id, report.ok)
+        self._handle_report(first_id, report.ok)
 
-    def _take_report(self, first_id: str, report: TargetReport) -> None:
-        """Move the streams around the parts for which they wait."""
+    def _handle_report(self, first_id: str, report: TargetReport) -> None:
+        """Move streams around the stages that they wait for."""
         self._slow_targets.note(first_id, report)
         stalled_by_id = dict(report.stalled)
         addresses = {
@@ -266,8 +270,8 @@
             if address:
                 self._lose_part(address)
 
-    def _lose_first(self, first_id: str, detail: str, waited_s: float) -> None:
-        """Give up the streams whose first target does not answer."""
+    def _drop_first_target(self, first_id: str, detail: str, waited_s: float) -> None:
+        """Abandon the streams whose first target does not answer."""
         left_out_s = self._view.directory.suspect(
             first_id, self._clock.now(), until_asked=True
         )
@@ -280,12 +284,12 @@
             directory_version=self._view.directory.version,
         )
         for stream in list(self._streams):
-            silent_s = self._clock.now() - stream.heard_at
-            if stream.path[0].target_id == first_id and silent_s > TICK_S * 2:
-                self._give_up(stream, "first target silent", found_lost=True)
+            silent_s = self._clock.now() - stream.last_progress_at
+            if stream.path[0].target_id == first_id and silent_s > MIN_TICK_S * 2:
+                self._abandon(stream, "first target silent", target_unreachable=True)
 
     def _lose_part(self, address: str) -> None:
-        """Move every stream that passes a dead part around it."""
+        """Move every stream that uses a crashed stage around it."""
         record = self._view.directory.at_address(address)
         movers = 0
         if record is not None:
@@ -300,30 +304,32 @@
                 directory_version=self._view.directory.version,
             )
         for stream in list(self._streams):
-            # A path can't be changed at its first part.
-            parts = [part.address for part in stream.path[1:]]
-            if address in parts and not stream.moving:
+            # The first stage of a path can't be changed.
+            addresses = [stage.address for stage in stream.path[1:]]
+            if address in addresses and not stream.moving:
                 stream.moving = True
-                self._nursery.start_soon(self._move, stream, address, movers)
+                self._nursery.start_soon(self._repath, stream, address, movers)
 
-    async def _move(self, stream: ActiveStream, address: str, movers: int) -> None:
-        """Change a stream's path in place; give the attempt up where that fails."""
-        began_at = self._clock.now()
+    async def _repath(self, stream: ActiveStream, address: str, movers: int) -> None:
+        """Change a stream's path in place; abandon the attempt if that fails."""
+        started_at = self._clock.now()
         try:
-            moved = await self._moved(stream, {address}, movers)
-            if not moved and stream.heard_at <= began_at:
-                self._give_up(stream, "no other path", found_lost=True)
+            moved = await self._try_repath(stream, {address}, movers)
+            if not moved and stream.last_progress_at <= started_at:
+                self._abandon(stream, "no other path", target_unreachable=True)
         finally:
             stream.moving = False
 
-    async def _moved(self, stream: ActiveStream, bad: set[str], movers: int) -> bool:
+    async def _try_repath(
+        self, stream: ActiveStream, bad_addresses: set[str], movers: int
+    ) -> bool:
         first = self._view.directory.find(stream.path[0].target_id)
-        if first is None or first.address in bad:
+        if first is None or first.address in bad_addresses:
             return False
-        for _ in range(REPATH_TRIES):
+        for _ in range(REPATH_ATTEMPTS):
             if stream not in self._streams:
                 return True
-            path = self._other_path(stream, bad, movers)
+            path = self._alternative_path(stream, bad_addresses, movers)
             if path is None:
                 return False
             order = repath_order(stream.call.facts.request_id, path)
@@ -332,38 +338,42 @@
             log_event(
                 "stream.moved",
                 request=stream.call.facts.request_id,
-                around=",".join(sorted(bad)),
+                around=",".join(sorted(bad_addresses)),
                 status=status,
-                path=path_words(path),
+                path=format_path(path),
             )
-            if status in MOVED:
-                self._take_path(stream, path)
+            if status in REPATHED_STATUSES:
+                self._apply_path(stream, path)
                 return True
             if status != 409:
                 return False
-            bad.add(_named_address(answer) or path[-1].address)
+            bad_addresses.add(_blocked_address(answer) or path[-1].address)
         return False
 
-    def _other_path(
-        self, stream: ActiveStream, bad: set[str], movers: int
+    def _alternative_path(
+        self, stream: ActiveStream, bad_addresses: set[str], movers: int
     ) -> Path | None:
-        """Return a path that keeps the first part and avoids the bad ones.
+        """Return a path that keeps the first stage and avoids the bad addresses.
 
-        All hosts move the streams that passed a lost target at the same moment, and
-        each of them reads its prompt again: unlimited, they fill the links between
+        All hosts move the streams of an unreachable target at the same moment, and each
+        stream processes its prompt again.  Without a limit they fill the links between
         zones for seconds, and none of them is served.
         """
         now = self._clock.now()
         service = stream.call.service.name
         records = self._view.directory.usable(service, now)
-        sound = [item for item in records if item.address not in bad]
+        healthy = [item for item in records if item.address not in bad_addresses]
         finder = self._view.path_finder(service, stream.engine, movers)
-        held = {part.target_id for part in stream.path}
+        current_ids = {stage.target_id for stage in stream.path}
         return finder.find(
-            sound, stream.demand, stream.path[0], self._view.paces.by_id(), held
+            healthy,
+            stream.demand,
+            stream.path[0],
+            self._view.paces.by_id(),
+            current_ids,
         )
 
-    def _take_path(self, stream: ActiveStream, path: Path) -> None:
+    def _apply_path(self, stream: ActiveStream, path: Path) -> None:
         if stream not in self._streams:
             return
         self._count(stream, stream.path, self._view.load.ended)
@@ -371,24 +381,26 @@
         stream.call.times.moved += 1
         self._count(stream, path, self._view.load.started)
         self._view.note_crossings(stream.engine, path, stream.demand.prompt)
-        # The new parts read the prompt again before the next event.
-        stream.heard_at = max(stream.heard_at, self._clock.now() - TICK_S)
+        # The new stages process the prompt again before the next event.
+        stream.last_progress_at = max(
+            stream.last_progress_at, self._clock.now() - MIN_TICK_S
+        )
 
-    def _give_up(
-        self, stream: ActiveStream, reason: str, found_lost: bool = False
+    def _abandon(
+        self, stream: ActiveStream, reason: str, target_unreachable: bool = False
     ) -> bool:
         if stream not in self._streams:
             return False
-        return stream.give_up(reason, self._clock.now(), found_lost)
+        return stream.abandon(reason, self._clock.now(), target_unreachable)
 
     def _count(self, stream: ActiveStream, path: Path, change) -> None:
-        for index, part in enumerate(path):
-            token_layers = stream.demand.tokens * len(part.span)
-            change(part.target_id, token_layers, first=index == 0)
+        for index, stage in enumerate(path):
+            token_layers = stream.demand.tokens * len(stage.span)
+            change(stage.target_id, token_layers, first=index == 0)
 
 
-def _proves_life(problem: Fault) -> bool:
-    """Return whether a target answered; those that serve alone know no reports."""
+def _answered(problem: Fault) -> bool:
+    """Return whether a target answered; those that serve alone send no reports."""
     return problem.code is ResultCode.MALFORMED_ANSWER
 
 
@@ -396,7 +408,7 @@
     addr: str = ""
 
 
-def _named_address(answer: Result[object, Fault]) -> str:
+def _blocked_address(answer: Result[object, Fault]) -> str:
     try:
         return msgspec.json.decode(answer.ok.body, type=_Blocked).addr
     except (msgspec.DecodeError, UnicodeDecodeError):
--- a/radishfield/forwarding/_witness_probe.py
+++ b/radishfield/forwarding/_witness_probe.py
@@ -1,9 +1,9 @@
-"""Tells a host that hears late from a target that does not answer.
+"""Distinguishes a target that does not answer from a host that receives late.
 
-Load pattern: a large configuration takes a host's link for a third of a second, or its
-decoding the event loop.  Whatever targets sent meanwhile lies behind it, and all of
-them seem silent.  So silence counts only once another target, asked later, has
-answered: its answer came over the same link to the same loop.
+A large configuration can occupy a host's link, or its decoding the event loop, for a
+third of a second.  Messages from targets queue up behind it, and all targets seem
+silent.  A missing answer therefore counts only after another target, probed later, has
+answered: that answer came over the same link to the same event loop.
 """
 
 import trio
@@ -14,19 +14,19 @@
 
 
 class _Round:
-    """One question to a few targets, and what came of it."""
+    """One probe of a few targets, and whether any of them answered."""
 
-    __slots__ = ("asked_at", "done", "heard", "target_ids")
+    __slots__ = ("sent_at", "done", "answered", "target_ids")
 
-    def __init__(self, asked_at: float, target_ids: set[str]):
-        self.asked_at = asked_at
+    def __init__(self, sent_at: float, target_ids: set[str]):
+        self.sent_at = sent_at
         self.target_ids = target_ids
-        self.heard = False
+        self.answered = False
         self.done = trio.Event()
 
 
 class WitnessProbe:
-    """Asks targets that are not in doubt; questions of one moment share the answer."""
+    """Probes targets that are not suspected; simultaneous requests share one round."""
 
     __slots__ = ("_round", "_targets", "_view")
 
@@ -35,39 +35,43 @@
         self._view = view
         self._round: _Round | None = None
 
-    async def hears(
-        self, target_id: str, asked_at: float, doubted: set[str], nursery: trio.Nursery
+    async def another_answers(
+        self,
+        target_id: str,
+        sent_at: float,
+        probed_ids: set[str],
+        nursery: trio.Nursery,
     ) -> bool:
-        """Return whether another target answers a later question.
+        """Return whether another target answers a probe sent later.
 
         Parameters
         ----------
         target_id : str
             The target that has not answered yet.
-        asked_at : float
-            When it was asked.
-        doubted : set of str
-            Targets that are being asked themselves; only asked if there is no other.
+        sent_at : float
+            When it was probed.
+        probed_ids : set of str
+            Targets that are being probed themselves; used only if there is no other.
         nursery : trio.Nursery
-            Outlives the caller, whose target may answer first.
+            Runs the probes; outlives the caller, whose target may answer first.
         """
         current = self._round
         if (
             current is None
-            or current.asked_at < asked_at
+            or current.sent_at < sent_at
             or target_id in current.target_ids
         ):
-            records = self._choose(target_id, doubted)
+            records = self._choose(target_id, probed_ids)
             current = _Round(self._view.clock.now(), {item.id for item in records})
             self._round = current
-            nursery.start_soon(self._ask_all, current, records)
+            nursery.start_soon(self._query_all, current, records)
         await current.done.wait()
-        return current.heard
+        return current.answered
 
-    def _choose(self, target_id: str, doubted: set[str]) -> list[TargetRecord]:
-        """Return a target of the own zone and one of another, where there are.
+    def _choose(self, target_id: str, probed_ids: set[str]) -> list[TargetRecord]:
+        """Return one target of the host's zone and one of another zone, if available.
 
-        The targets of a whole zone may be lost at once.
+        All targets of a zone may become unreachable at once.
         """
         view, now = self._view, self._view.clock.now()
         others = [
@@ -78,21 +82,21 @@
             and not view.directory.suspected(record.id, now)
         ]
         view.chance.shuffle(others)
-        others.sort(key=lambda item: item.id in doubted)
+        others.sort(key=lambda item: item.id in probed_ids)
         near = [record for record in others if record.zone == view.zone]
         far = [record for record in others if record.zone != view.zone]
         return near[:1] + far[:1] if near and far else others[:2]
 
-    async def _ask_all(self, current: _Round, records: list[TargetRecord]) -> None:
+    async def _query_all(self, current: _Round, records: list[TargetRecord]) -> None:
         try:
             async with trio.open_nursery() as nursery:
                 for record in records:
-                    nursery.start_soon(self._ask, current, record)
+                    nursery.start_soon(self._query, current, record)
         finally:
             current.done.set()
 
-    async def _ask(self, current: _Round, record: TargetRecord) -> None:
+    async def _query(self, current: _Round, record: TargetRecord) -> None:
         report = await self._targets.report(record)
         if report.is_ok():
-            current.heard = True
+            current.answered = True
             current.done.set()
--- a/radishfield/forwarding/answers_kept_test.py
+++ b/radishfield/forwarding/answers_kept_test.py
@@ -1,4 +1,4 @@
-"""Answers that a host has begun, or owes, against what may end them too soon."""
+"""Tests that pending and started answers are not ended too early."""
 
 import socket
 import time
@@ -14,79 +14,89 @@
 from standins.routed_config import config, route, target_entry
 from standins.routed_targets import LayeredTarget
 
-NO_ANSWER = (httpcore.NetworkError, httpcore.RemoteProtocolError, UnboundLocalError)
-"""What a caller's request raises here where the connection ends without an answer."""
+NO_ANSWER_ERRORS = (
+    httpcore.NetworkError,
+    httpcore.RemoteProtocolError,
+    UnboundLocalError,
+)
+"""Errors that a request raises if the connection ends without an answer."""
 
 
-async def pool(played, targets=1, promises=(), **changes):
+async def start_layered_router(played, targets=1, settings=(), **changes):
     """Start a host with targets that each hold every layer."""
     for number in range(targets):
         await played.add_layered(f"t{number + 1}", 0, 80, **changes)
-    await played.start_router(**dict(promises))
+    await played.start_router(**dict(settings))
 
 
 async def stream(played, path="/stream/x", limit_s=6.0, **headers):
-    """Ask for a stream; None where the caller gets no answer in time, or none."""
+    """Request a stream; return None if no answer arrives in time or at all."""
     try:
         with trio.move_on_after(limit_s):
             return await played.request(path, "POST", body=b"{}", **headers)
-    except NO_ANSWER:
+    except NO_ANSWER_ERRORS:
         pass
     return None
 
 
-def ids(reply):
+def event_ids(reply):
     lines = reply.body.split(b"\n")
     return [int(line[3:]) for line in lines if line.startswith(b"id:")]
 
 
-def is_whole(reply, events):
-    return reply is not None and reply.whole and ids(reply) == [*range(1, events + 1)]
+def is_complete(reply, events):
+    return (
+        reply is not None
+        and reply.whole
+        and event_ids(reply) == [*range(1, events + 1)]
+    )
 
 
-def test_an_attempt_given_up_as_its_first_event_is_read_goes_on_elsewhere(
+def test_attempt_abandoned_as_its_first_event_is_read_resumes_elsewhere(
     tmp_path, monkeypatch
 ):
-    """The answer's head is passed on whole or not at all, whoever ends the attempt."""
-    heard, given_up = ActiveStream.heard, []
+    """The answer's head is sent completely or not at all, whoever ends the attempt."""
+    note_event, abandoned = ActiveStream.note_event, []
 
-    def give_up_once(active, now):
-        heard(active, now)
-        if not given_up:
-            given_up.append(active)
-            active.give_up("silent", active.heard_at)
+    def abandon_once(active, now):
+        note_event(active, now)
+        if not abandoned:
+            abandoned.append(active)
+            active.abandon("silent", active.last_progress_at)
 
-    monkeypatch.setattr(ActiveStream, "heard", give_up_once)
+    monkeypatch.setattr(ActiveStream, "note_event", abandon_once)
 
-    async def scene(played):
+    async def scenario(played):
         played.store.put("config", "main", config())
-        await pool(played, targets=2)
-        assert is_whole(await stream(played), 6)
+        await start_layered_router(played, targets=2)
+        assert is_complete(await stream(played), 6)
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
-def test_an_answers_head_never_goes_out_without_its_first_event(tmp_path, monkeypatch):
-    """A stream that can't go on is refused while its caller has nothing of it."""
-    heard = ActiveStream.heard
+def test_answer_head_is_never_sent_without_its_first_event(tmp_path, monkeypatch):
+    """A stream that can't resume is refused if nothing of it was sent to its caller."""
+    note_event = ActiveStream.note_event
 
-    def give_up(active, now):
-        heard(active, now)
-        active.give_up("silent", active.heard_at)
+    def abandon(active, now):
+        note_event(active, now)
+        active.abandon("silent", active.last_progress_at)
 
-    monkeypatch.setattr(ActiveStream, "heard", give_up)
+    monkeypatch.setattr(ActiveStream, "note_event", abandon)
 
-    async def scene(played):
+    async def scenario(played):
         played.store.put("config", "main", config())
-        await pool(played, promises={"retry_slack": "0", "retry_ratio": "0"})
+        await start_layered_router(
+            played, settings={"retry_slack": "0", "retry_ratio": "0"}
+        )
         reply = await stream(played)
         assert reply is not None and reply.status == 502
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
 def answer_after(listener, wait_s):
-    """Answer one request with a first event, from outside the event loop."""
+    """Answer one request with a first event, from a thread outside the event loop."""
     connection, _ = listener.accept()
     with connection:
         connection.recv(65536)
@@ -97,16 +107,16 @@
         time.sleep(1.0)
 
 
-def test_a_deadline_in_the_turn_of_a_first_event_ends_no_other_answer(tmp_path):
-    """A host that was held up past one caller's deadline goes on for all the others."""
+def test_deadline_that_passes_during_a_first_event_aborts_no_other_answer(tmp_path):
+    """A host that is blocked past one caller's deadline still serves all others."""
 
-    async def scene(played):
+    async def scenario(played):
         routes = [
             route("stream", "streaming", "pool"),
             route("late", "streaming", "lone", timeoutMs=400),
         ]
         played.store.put("config", "main", config(routes=routes))
-        await pool(played, gap_s=0.1, events=20)
+        await start_layered_router(played, gap_s=0.1, events=20)
         with socket.create_server(("127.0.0.1", 0)) as listener:
             address = f"127.0.0.1:{listener.getsockname()[1]}"
             played.store.put("servers", "l1", target_entry("lone", address))
@@ -123,40 +133,40 @@
                 nursery.start_soon(call, "/late/x", "late")
                 await trio.sleep(0.2)
                 time.sleep(0.3)
-        assert any(is_whole(reply, 20) for reply in replies)
+        assert any(is_complete(reply, 20) for reply in replies)
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
-def test_a_stream_given_up_as_its_end_is_read_is_ended_for_its_caller(
+def test_stream_abandoned_as_its_end_is_read_is_completed_for_its_caller(
     tmp_path, monkeypatch
 ):
-    """A caller that has every event also gets the end, whoever ends the attempt."""
+    """A caller that got every event also gets the end, whoever ends the attempt."""
     end_stream = Responder.end_stream
 
-    async def scene(played):
+    async def scenario(played):
         played.store.put("config", "main", config())
-        await pool(played, targets=2)
+        await start_layered_router(played, targets=2)
         watchdog = played.router._kernel.find("watchdog", StreamWatchdog)
 
-        async def give_up_first(responder):
+        async def abandon_first(responder):
             for active in list(watchdog._streams):
-                active.give_up("silent", active.heard_at)
+                active.abandon("silent", active.last_progress_at)
             await end_stream(responder)
 
-        monkeypatch.setattr(Responder, "end_stream", give_up_first)
-        assert is_whole(await stream(played, limit_s=3.0), 6)
+        monkeypatch.setattr(Responder, "end_stream", abandon_first)
+        assert is_complete(await stream(played, limit_s=3.0), 6)
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
-def test_a_stream_in_line_is_answered_before_a_leaving_host_ends(tmp_path):
-    """A request that was read and not passed on is refused, not dropped, at the end."""
+def test_queued_stream_is_answered_before_a_leaving_host_exits(tmp_path):
+    """A request that was read but not forwarded is refused, not dropped, at exit."""
 
-    async def scene(played):
+    async def scenario(played):
         routes = [route("stream", "streaming", "pool", sloMs=2500, timeoutMs=9000)]
         played.store.put("config", "main", config(routes=routes))
-        await pool(played, promises={"grace": "4s"})
+        await start_layered_router(played, settings={"grace": "4s"})
         played.router.view.load.started("t1", 1e9, True)
         played.stop.set()
         await played.until(lambda: played.router.view.leaving)
@@ -164,17 +174,19 @@
         assert reply is not None and reply.status == 503
         assert not played.layered[0].runs
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("slack", ["50", "0"])
-def test_a_stream_is_not_ended_because_its_target_left_the_list(tmp_path, slack):
-    """A target that was taken off the list serves what it has to the end."""
+def test_stream_continues_when_its_target_leaves_the_directory(tmp_path, slack):
+    """A target that was removed from the directory finishes its streams."""
 
-    async def scene(played):
+    async def scenario(played):
         played.store.put("config", "main", config())
-        promises = {"retry_slack": slack, "retry_ratio": "0"}
-        await pool(played, targets=2, promises=promises, events=4, gap_s=0.6)
+        settings = {"retry_slack": slack, "retry_ratio": "0"}
+        await start_layered_router(
+            played, targets=2, settings=settings, events=4, gap_s=0.6
+        )
         replies = []
 
         async def call():
@@ -185,14 +197,14 @@
             await played.until(lambda: any(item.runs for item in played.layered))
             used = next(item for item in played.layered if item.runs)
             played.store.remove("servers", used.id)
-        assert is_whole(replies[0], 4)
+        assert is_complete(replies[0], 4)
         assert sum(sum(item.runs.values()) for item in played.layered) == 1
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
-def test_a_doubted_target_whose_events_go_on_keeps_its_streams(tmp_path, monkeypatch):
-    """An event since a question was sent counts for more than the late answer."""
+def test_suspected_target_with_further_events_keeps_its_streams(tmp_path, monkeypatch):
+    """An event since a probe was sent outweighs the probe's late answer."""
     serve = LayeredTarget._serve
 
     async def report_late(target, scope, receive, send):
@@ -200,10 +212,10 @@
             await trio.sleep(0.6)
         await serve(target, scope, receive, send)
 
-    async def scene(played):
-        calm = [route("stream", "streaming", "pool", sloMs=2000, gapAimMs=1000)]
-        played.store.put("config", "main", config(routes=calm))
-        await pool(played, targets=2, events=8, gap_s=0.25)
+    async def scenario(played):
+        routes = [route("stream", "streaming", "pool", sloMs=2000, gapAimMs=1000)]
+        played.store.put("config", "main", config(routes=routes))
+        await start_layered_router(played, targets=2, events=8, gap_s=0.25)
         replies = []
 
         async def call(request_id):
@@ -216,20 +228,20 @@
             monkeypatch.setattr(LayeredTarget, "_serve", report_late)
             view = played.router.view
             view.directory.doubt("t1", view.clock.now())
-        assert all(is_whole(reply, 8) for reply in replies)
+        assert all(is_complete(reply, 8) for reply in replies)
         assert sum(sum(item.runs.values()) for item in played.layered) == 8
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
-def test_a_stream_resumed_after_its_last_event_ends_whole(tmp_path):
-    """Where nothing is left to send, a target's empty whole answer is the end."""
+def test_stream_resumed_after_its_last_event_is_complete(tmp_path):
+    """If nothing is left to send, a target's empty complete answer is the end."""
 
-    async def scene(played):
+    async def scenario(played):
         played.store.put("config", "main", config())
-        await pool(played, targets=2)
+        await start_layered_router(played, targets=2)
         reply = await stream(played, last_event_id="6")
         assert reply.status == 200 and reply.whole
         assert sum(sum(item.runs.values()) for item in played.layered) == 1
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
