--- a/radishfield/serving/__init__.py
+++ b/radishfield/serving/__init__.py
@@ -1,4 +1,4 @@
-"""The way of one request through the system, from admission to its end."""
+"""Serves requests at an entry host, from admission to their outcome."""
 
 from radishfield.serving._crash_sharing import (
     CrashSharing,
--- a/radishfield/serving/_attempt.py
+++ b/radishfield/serving/_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: open a stream, check each token's receipt, pass it on."""
+"""Runs one attempt: opens a stream, checks each token's receipt and forwards it."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
@@ -24,14 +24,14 @@
 from radishfield.serving._observer import Observer
 from radishfield.serving._target_crashes import digest_of
 
-# A connection that went silent, or was reset, is replaced by a new one to the
-# same first stage before the target itself is held to be at fault.  Two tries
-# outlive a path that loses track of one connection twice; a third would only
-# eat into the request's deadline.  A try that is not answered ends them.  Silence
-# is only a suspicion, though: the host's own link or loop may have been held up.
-# So the tries go on while no other attempt may take this one's place.
+# A silent or reset connection is replaced by a new one to the same first stage before
+# the target itself is considered faulty.  Two reopenings survive a network path that
+# loses track of one connection twice.  A third would only use up the request's
+# deadline.  An unanswered reopening ends them.  Silence does not prove a fault, since
+# the host's own link or event loop may have been delayed.  Reopening therefore
+# continues while no other attempt may replace this one.
 MAX_REOPENS = 2
-PATH_FAILURES = frozenset({Code.STREAM_SILENT, Code.STREAM_BROKEN})
+CONNECTION_FAILURES = frozenset({Code.STREAM_SILENT, Code.STREAM_BROKEN})
 
 
 @dataclass(slots=True, frozen=True)
@@ -47,7 +47,7 @@
     answered : bool
         Whether the target answered the opening of its last connection.
     outlived_start : bool
-        Whether the target lived on well after it began to run the request.
+        Whether the target kept running well after it started the request.
     """
 
     problem: Fault
@@ -68,7 +68,7 @@
         "_clock",
         "_observer",
         "_scheduler",
-        "_began_at",
+        "_first_token_at",
         "_crashes",
         "_outlived_start",
     )
@@ -92,62 +92,64 @@
         self._observer = observer
         self._scheduler = scheduler
         self._crashes = crashes
-        self._began_at: float | None = None
+        self._first_token_at: float | None = None
         self._outlived_start = False
 
-    async def run(self, head: Target, dispatch: Dispatch) -> AttemptFailure | None:
+    async def run(
+        self, first_target: Target, dispatch: Dispatch
+    ) -> AttemptFailure | None:
         """Run to the last token; None means that the request has finished."""
         match self._state.start_attempt(dispatch.attempt, dispatch.route):
             case Result(tag="error", error=problem):
                 return self._failure(problem, started=False)
-        tried_at = self._clock.now()
-        self._began_at = None
+        opened_at = self._clock.now()
+        self._first_token_at = None
         self._outlived_start = False
-        opening = self._targets.open_stream(head, self._start(dispatch))
-        failure = await self._pass_on(opening)
+        opening = self._targets.open_stream(first_target, self._stream_start(dispatch))
+        failure = await self._read_opened(opening)
         reopens = 0
-        while self._path_failed(failure):
-            # A first stage that gives no answer on a new connection either is at
-            # fault, not the path: a further try would only cost the caller the
-            # same wait again.
-            tries_left = reopens == 0 or (failure.answered and reopens < MAX_REOPENS)
-            if not tries_left and self._may_end(failure, dispatch, tried_at):
+        while self._connection_failed(failure):
+            # A first stage that does not answer a new connection either is itself at
+            # fault, not the network path.  Another reopening would only make the
+            # caller wait as long again.
+            may_reopen = reopens == 0 or (failure.answered and reopens < MAX_REOPENS)
+            if not may_reopen and self._may_end(failure, dispatch, opened_at):
                 return failure
             reopens += 1
-            tried_at = self._clock.now()
+            opened_at = self._clock.now()
             position = self._state.next_position
             self._observer.reopened(self._request, position)
             opening = self._targets.reopen_stream(
-                head, self._request.id, dispatch.attempt, position
+                first_target, self._request.id, dispatch.attempt, position
             )
-            again = await self._pass_on(opening)
-            # The attempt was handed over before, whatever this try proves.
-            failure = None if again is None else replace(again, started=True)
+            latest = await self._read_opened(opening)
+            # The attempt was already sent earlier, whatever this reopening proves.
+            failure = None if latest is None else replace(latest, started=True)
         return failure
 
     def _may_end(
-        self, failure: AttemptFailure, dispatch: Dispatch, tried_at: float
+        self, failure: AttemptFailure, dispatch: Dispatch, opened_at: float
     ) -> bool:
-        """Tell whether the attempt broke, or another may take its place."""
+        """Return whether the connection broke or another attempt may replace this."""
         if failure.problem.code is not Code.STREAM_SILENT:
             return True
-        silent = Failure(
+        silence = Failure(
             self._request.id,
             dispatch.route.stages[0].target_id,
             FailureKind.SILENT,
             started=True,
             committed=failure.committed,
         )
-        return self._scheduler.may_replace(silent, tried_at, self._clock.now())
+        return self._scheduler.may_replace(silence, opened_at, self._clock.now())
 
-    def _path_failed(self, failure: AttemptFailure | None) -> bool:
+    def _connection_failed(self, failure: AttemptFailure | None) -> bool:
         return (
             failure is not None
             and failure.started
-            and failure.problem.code in PATH_FAILURES
+            and failure.problem.code in CONNECTION_FAILURES
         )
 
-    def _start(self, dispatch: Dispatch) -> StreamStart:
+    def _stream_start(self, dispatch: Dispatch) -> StreamStart:
         return StreamStart(
             self._request.id,
             dispatch.attempt,
@@ -160,7 +162,7 @@
             sampling=self._request.sampling,
         )
 
-    async def _pass_on(self, opening) -> AttemptFailure | None:
+    async def _read_opened(self, opening) -> AttemptFailure | None:
         async with opening as opened:
             match opened:
                 case Result(tag="error", error=problem):
@@ -188,24 +190,24 @@
                     return problem
                 case Result(tag="ok", ok=tokens):
                     batch = self._state.commit_batch(tokens)
-            await self._hand_on(batch.tokens)
-            # What an engine sends behind the last token spoils no whole answer.
+            await self._forward_tokens(batch.tokens)
+            # Faulty data after the last token does not invalidate a complete answer.
             if batch.problem is not None and self._state.finish is None:
                 return batch.problem
         return None
 
-    async def _hand_on(self, tokens: Sequence[Token]) -> None:
+    async def _forward_tokens(self, tokens: Sequence[Token]) -> None:
         now = self._clock.now()
-        self._note_life(now)
+        self._record_survival(now)
         for token in tokens:
             self._scheduler.progressed(self._request.id, token.position, now)
             self._observer.token(self._request, token)
             await self._sink.push(token)
 
-    def _note_life(self, now: float) -> None:
-        """Note that the target lives on after it began to run the request."""
-        if self._began_at is None:
-            self._began_at = now
-        if not self._outlived_start and now - self._began_at >= OUTLIVED_S:
+    def _record_survival(self, now: float) -> None:
+        """Record whether the target keeps running after it started the request."""
+        if self._first_token_at is None:
+            self._first_token_at = now
+        if not self._outlived_start and now - self._first_token_at >= OUTLIVED_S:
             self._outlived_start = True
             self._crashes.outlived(digest_of(self._request), self._request.id)
--- a/radishfield/serving/_canceller.py
+++ b/radishfield/serving/_canceller.py
@@ -1,4 +1,4 @@
-"""Tells targets, behind the caller's back, to forget work that was given up."""
+"""Cancels abandoned work at targets in the background, not delaying callers."""
 
 from dataclasses import dataclass
 
@@ -8,10 +8,10 @@
 
 WORKERS = 4
 CANCEL_TIMEOUT_S = 1.0
-# A target stops by itself at the request's deadline, so a cancel that is dropped
-# here costs wasted work and no promise.  The bound keeps a mass failure from
-# filling the memory with cancels for targets that do not answer.
-MAX_WAITING = 1000
+# A target stops by itself at the request's deadline, so a cancel that is dropped here
+# wastes work but breaks no guarantee.  The bound keeps a mass failure from filling the
+# memory with cancels for targets that do not answer.
+MAX_QUEUED_CANCELS = 1000
 
 
 @dataclass(slots=True, frozen=True)
@@ -28,7 +28,7 @@
 
     def __init__(self, targets: TargetPort):
         self._targets = targets
-        self._send, self._receive = trio.open_memory_channel(MAX_WAITING)
+        self._send, self._receive = trio.open_memory_channel(MAX_QUEUED_CANCELS)
         self.dropped = 0
 
     def cancel(self, target: Target, request_id: str, attempt: int) -> None:
@@ -46,8 +46,8 @@
             task_status.started()
 
     async def _work(self) -> None:
-        async for order in self._receive.clone():
+        async for queued in self._receive.clone():
             with trio.move_on_after(CANCEL_TIMEOUT_S):
                 await self._targets.cancel(
-                    order.target, order.request_id, order.attempt
+                    queued.target, queued.request_id, queued.attempt
                 )
--- a/radishfield/serving/_claiming.py
+++ b/radishfield/serving/_claiming.py
@@ -1,4 +1,4 @@
-"""The face of idempotency claims that the dispatcher works against."""
+"""Interface through which the dispatcher uses idempotency claims."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, frozen=True)
 class NoClaim:
-    """Stands for the claim of a request that needs none."""
+    """Placeholder for the claim of a request that needs none."""
 
 
 class ClaimPort(Protocol):
@@ -23,29 +23,29 @@
         """Return a claim, a replay of the first run's answer, or a fault."""
 
     async def finish(self, claimed: Claimed | NoClaim, answer: bytes | None) -> None:
-        """Settle: the request ran to its end."""
+        """Settle the claim of a request that ran to its end."""
 
     async def release(self, claimed: Claimed | NoClaim) -> None:
-        """Settle: the request is proven not to have run."""
+        """Settle the claim of a request that is proven not to have run."""
 
     async def mark_unknown(self, claimed: Claimed | NoClaim) -> None:
-        """Settle: the request may have run."""
+        """Settle the claim of a request that may have run."""
 
 
 class NoClaims:
-    """For hosts that take no idempotency keys."""
+    """Claims for hosts that do not accept idempotency keys."""
 
     __slots__ = ()
 
     async def claim(self, workspace, key, digest, request_id, expires_at):
-        """Grant everything."""
+        """Grant every request."""
         return Ok(NoClaim())
 
     async def finish(self, claimed, answer):
-        """Keep nothing."""
+        """Do nothing."""
 
     async def release(self, claimed):
-        """Keep nothing."""
+        """Do nothing."""
 
     async def mark_unknown(self, claimed):
-        """Keep nothing."""
+        """Do nothing."""
--- a/radishfield/serving/_crash_sharing.py
+++ b/radishfield/serving/_crash_sharing.py
@@ -1,7 +1,8 @@
-"""Tells the other entry hosts under which requests targets ended.
+"""Reports to the other entry hosts under which requests targets crashed.
 
-News goes to every member at once.  Datagrams get lost, and hosts start or come back
-from a cut, so what is known of more than one end is told again to a few each second.
+New reports go to every member at once.  Datagrams get lost, and hosts start or return
+from a partition, so each second the reports of requests with more than one crash are
+sent again to a few members.
 """
 
 import random
@@ -16,15 +17,15 @@
 from radishfield.telemetry import log_event
 
 CRASHES_TOPIC = "crashes"
-TELL_AGAIN_S = 1.0
-GATHER_S = 0.01
-"""Pause in which news gathers: a target's end is one of all requests that it ran."""
+RESEND_INTERVAL_S = 1.0
+BATCH_DELAY_S = 0.01
+"""Delay that batches reports, since a crash counts for all requests on the target."""
 
 
 class CrashSharing:
-    """A service that carries what a `CrashGuard` knows between hosts."""
+    """A service that exchanges the crash reports of a `CrashGuard` between hosts."""
 
-    __slots__ = ("_chance", "_fresh", "_guard", "_peers", "_settings", "_woken")
+    __slots__ = ("_rng", "_unsent", "_guard", "_peers", "_settings", "_has_unsent")
 
     def __init__(
         self, settings: SpreadSettings, peers: PeerMessages, guard: CrashGuard
@@ -32,52 +33,52 @@
         self._settings = settings
         self._peers = peers
         self._guard = guard
-        self._chance = random.Random()
-        self._fresh: dict[str, None] = {}
-        self._woken = trio.Event()
-        guard.tell = self._note
-        peers.hear(CRASHES_TOPIC, self._hear)
+        self._rng = random.Random()
+        self._unsent: dict[str, None] = {}
+        self._has_unsent = trio.Event()
+        guard.tell = self._enqueue
+        peers.hear(CRASHES_TOPIC, self._receive)
 
     async def run(self, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED):
-        """Tell what is new, and some of what lasts, until cancelled."""
+        """Send new reports, and resend the lasting ones, until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._tell_fresh)
-            nursery.start_soon(self._tell_again)
+            nursery.start_soon(self._send_unsent)
+            nursery.start_soon(self._resend)
             nursery.start_soon(self._guard.watch)
             task_status.started()
 
-    def _note(self, digest: str) -> None:
-        self._fresh[digest] = None
-        self._woken.set()
+    def _enqueue(self, digest: str) -> None:
+        self._unsent[digest] = None
+        self._has_unsent.set()
 
-    async def _tell_fresh(self) -> None:
+    async def _send_unsent(self) -> None:
         while True:
-            await self._woken.wait()
-            await trio.sleep(GATHER_S)
-            self._woken = trio.Event()
-            digests = list(self._fresh)
-            self._fresh.clear()
+            await self._has_unsent.wait()
+            await trio.sleep(BATCH_DELAY_S)
+            self._has_unsent = trio.Event()
+            digests = list(self._unsent)
+            self._unsent.clear()
             members = [
                 member.id
                 for member in self._peers.members()
                 if member.state is not MemberState.DEAD
                 and member.id != self._settings.host
             ]
-            await self._tell(digests, members)
+            await self._send(digests, members)
 
-    async def _tell_again(self) -> None:
+    async def _resend(self) -> None:
         while True:
-            await trio.sleep(TELL_AGAIN_S * self._chance.uniform(0.5, 1.5))
+            await trio.sleep(RESEND_INTERVAL_S * self._rng.uniform(0.5, 1.5))
             members = self._peers.members()
-            chosen = choose_fan_out(members, self._settings, self._chance)
-            await self._tell(self._guard.book.lasting(), chosen)
+            chosen = choose_fan_out(members, self._settings, self._rng)
+            await self._send(self._guard.book.lasting(), chosen)
 
-    async def _tell(self, digests: Sequence[str], members: Sequence[str]) -> None:
+    async def _send(self, digests: Sequence[str], members: Sequence[str]) -> None:
         for digest in digests:
             payload = msgspec.msgpack.encode(self._guard.report(digest))
             await self._peers.tell(members, CRASHES_TOPIC, payload)
 
-    def _hear(self, sender: str, payload: bytes) -> None:
+    def _receive(self, sender: str, payload: bytes) -> None:
         try:
             report = msgspec.msgpack.decode(payload, type=CrashReport)
         except msgspec.DecodeError as problem:
--- a/radishfield/serving/_dispatcher.py
+++ b/radishfield/serving/_dispatcher.py
@@ -1,7 +1,7 @@
-"""The service behind the caller edge: the way of a request through the system.
+"""Serves the requests that the caller edge accepts, up to their outcome.
 
-A request is claimed (if it may not run twice), waits for its turn, runs its
-attempts, and its claim is settled with what is proven about it.
+A request is claimed if it may not run twice, waits until it is dispatched, and runs
+its attempts.  Its claim is then settled with the outcome that has been proven.
 """
 
 from collections.abc import Awaitable, Callable, Sequence
@@ -46,19 +46,19 @@
 
 A = TypeVar("A")
 
-# Characters of the prompt whose digest stands for its cached prefix.
+# Characters of the prompt whose digest identifies its cached prefix.
 PREFIX_CHARACTERS = 256
-# Settling a claim must outlive the caller's cancellation, but not hold a
-# shutdown for ever.
+# Settling a claim must continue after the caller's cancellation, but not block a
+# shutdown indefinitely.
 SETTLE_TIMEOUT_S = 5.0
-# How long a key stays claimed.  A caller that heard "unknown" at its deadline
-# repeats the key after that: a claim that ended with the deadline would let the
-# repeat run again.  Ten minutes cover a caller's own retries with room.
-CLAIM_S = 600.0
+# How long a key stays claimed.  A caller that received "unknown" at its deadline
+# retries with the same key after that.  A claim that ended with the deadline would let
+# the retry run again.  Ten minutes cover a caller's own retries with a margin.
+CLAIM_LIFETIME_S = 600.0
 
 
-class KeptAnswer(msgspec.Struct):
-    """A finished model answer, as a claim keeps it for a repeat."""
+class StoredAnswer(msgspec.Struct):
+    """A finished model answer, as a claim stores it for a caller's retry."""
 
     texts: list[str]
     reason: str
@@ -74,7 +74,7 @@
         "_crashes",
         "_claims",
         "_observer",
-        "_claim_s",
+        "_claim_lifetime_s",
         "_queue",
         "_canceller",
         "_targets_by_id",
@@ -88,7 +88,7 @@
         clock: Clock,
         claims: ClaimPort | None = None,
         observer: Observer | None = None,
-        claim_s: float = CLAIM_S,
+        claim_s: float = CLAIM_LIFETIME_S,
         crashes: TargetCrashes | None = None,
     ):
         self._scheduler = scheduler
@@ -96,7 +96,7 @@
         self._clock = clock
         self._claims = claims or NoClaims()
         self._observer = observer or NullObserver()
-        self._claim_s = claim_s
+        self._claim_lifetime_s = claim_s
         self._crashes = crashes or TargetCrashes(CrashGuard("", clock))
         self._queue = DispatchQueue(scheduler, clock)
         self._canceller = Canceller(targets)
@@ -105,12 +105,12 @@
 
     @property
     def in_flight(self) -> int:
-        """Return the number of requests on their way, waiting ones included."""
+        """Return the number of unfinished requests, including those in the queue."""
         return self._in_flight
 
     @property
     def queued(self) -> int:
-        """Return the number of requests that wait for their turn."""
+        """Return the number of requests that wait to be dispatched."""
         return len(self._queue)
 
     def set_targets(
@@ -120,7 +120,7 @@
         links: Sequence[Link] = (),
         entry_hosts: int = 1,
     ) -> None:
-        """Replace the view of targets; requests in flight keep their routes."""
+        """Replace the known targets; requests in flight keep their routes."""
         self._targets_by_id = {target.id: target for target in targets}
         self._crashes.set_targets(targets)
         now = self._clock.now()
@@ -128,12 +128,12 @@
         self._queue.pump()
 
     def observe_load(self, report: LoadReport) -> None:
-        """Take in a target's load report."""
+        """Process a target's load report."""
         self._scheduler.observe_load(report, self._clock.now())
         self._queue.pump()
 
     async def run(self, *, task_status=trio.TASK_STATUS_IGNORED):
-        """Keep the queue moving and send cancels until cancelled."""
+        """Dispatch queued requests and send cancels until cancelled."""
         async with trio.open_nursery() as nursery:
             await nursery.start(self._canceller.run)
             nursery.start_soon(self._queue.run_wakeups)
@@ -155,8 +155,8 @@
             self._crashes.guard,
         )
 
-        async def one(dispatch: Dispatch) -> AttemptFailure | None:
-            return await self._attempt(attempt, request.id, dispatch)
+        async def run_attempt(dispatch: Dispatch) -> AttemptFailure | None:
+            return await self._run_attempt(attempt, request.id, dispatch)
 
         async def prepare(retry: Retry) -> None:
             await move_kv(
@@ -168,28 +168,30 @@
             )
 
         async def replay(answer: bytes) -> Finished:
-            kept = msgspec.msgpack.decode(answer, type=KeptAnswer)
-            for token in _replayed_tokens(request.id, kept):
+            stored = msgspec.msgpack.decode(answer, type=StoredAnswer)
+            for token in _replayed_tokens(request.id, stored):
                 await sink.push(token)
-            return Finished(kept.reason, ResultCode.REPLAYED)
+            return Finished(stored.reason, ResultCode.REPLAYED)
 
         def answer() -> Finished:
             return Finished(state.finish or "stop")
 
-        def keep() -> bytes:
-            kept = KeptAnswer(list(state.committed), state.finish or "stop")
-            return msgspec.msgpack.encode(kept)
+        def encode() -> bytes:
+            stored = StoredAnswer(list(state.committed), state.finish or "stop")
+            return msgspec.msgpack.encode(stored)
 
         run = self._new_run(request, _work_of(request), lambda: bool(state.committed))
-        return await self._serve(run, _Way(one, prepare, answer, keep, replay))
+        return await self._serve(
+            run, _Handlers(run_attempt, prepare, answer, encode, replay)
+        )
 
     async def call_service(
         self, request: ServiceRequest
     ) -> Result[ServiceAnswer, Fault]:
-        """Run a plain call and return the service's whole answer."""
+        """Run a plain call and return the service's complete answer."""
         answers: list[ServiceAnswer] = []
 
-        async def one(dispatch: Dispatch) -> AttemptFailure | None:
+        async def run_attempt(dispatch: Dispatch) -> AttemptFailure | None:
             match await self._targets.call(dispatch.target, request):
                 case Result(tag="ok", ok=answer):
                     answers.append(answer)
@@ -202,20 +204,22 @@
             """Move nothing: a plain service has no cache."""
 
         async def replay(answer: bytes) -> ServiceAnswer:
-            kept = msgspec.msgpack.decode(answer, type=ServiceAnswer)
-            return replace(kept, code=ResultCode.REPLAYED)
+            stored = msgspec.msgpack.decode(answer, type=ServiceAnswer)
+            return replace(stored, code=ResultCode.REPLAYED)
 
-        def keep() -> bytes:
+        def encode() -> bytes:
             return msgspec.msgpack.encode(answers[0])
 
         def answer() -> ServiceAnswer:
             return answers[0]
 
         run = self._new_run(request, _work_of_call(request), lambda: False)
-        return await self._serve(run, _Way(one, prepare, answer, keep, replay))
+        return await self._serve(
+            run, _Handlers(run_attempt, prepare, answer, encode, replay)
+        )
 
     def _new_run(
-        self, request: AnyRequest, work: Work, begun: Callable[[], bool]
+        self, request: AnyRequest, work: Work, answer_started: Callable[[], bool]
     ) -> RequestRun:
         return RequestRun(
             request,
@@ -225,16 +229,16 @@
             self._observer,
             self._clock,
             self._crashes,
-            begun,
+            answer_started,
         )
 
-    async def _attempt(
+    async def _run_attempt(
         self, attempt: Attempt, request_id: str, dispatch: Dispatch
     ) -> AttemptFailure | None:
         stages = dispatch.route.stages
         route = [self._targets_by_id.get(stage.target_id) for stage in stages]
         if None in route:
-            detail = "a stage of the route has left"
+            detail = "a target of the route has left the fleet"
             return AttemptFailure(fault(ResultCode.CONNECT_FAILED, detail), False)
         finished = False
         try:
@@ -246,123 +250,132 @@
                 for target in route:
                     self._canceller.cancel(target, request_id, dispatch.attempt)
 
-    async def _serve(self, run: RequestRun, way: "_Way[A]") -> Result[A, Fault]:
+    async def _serve(
+        self, run: RequestRun, handlers: "_Handlers[A]"
+    ) -> Result[A, Fault]:
         request = run.request
         self._observer.arrived(request)
         self._in_flight += 1
         problem: Fault | None = fault(ResultCode.CANCELLED)
         try:
-            result = await self._serve_claimed(run, way)
+            result = await self._serve_claimed(run, handlers)
             problem = result.error if result.is_error() else None
             return result
         except trio.Cancelled:
-            problem = run.honest(problem)
+            problem = run.with_proven_outcome(problem)
             raise
         finally:
             self._in_flight -= 1
             self._observer.ended(request, problem)
 
-    async def _serve_claimed(self, run: RequestRun, way: "_Way[A]") -> Result[A, Fault]:
+    async def _serve_claimed(
+        self, run: RequestRun, handlers: "_Handlers[A]"
+    ) -> Result[A, Fault]:
         request = run.request
         if request.profile.idempotent or not request.idempotency_key:
-            return await self._run_in_time(run, way)
+            return await self._run_until_deadline(run, handlers)
         granted = await self._claims.claim(
             request.workspace,
             request.idempotency_key,
             request.body_digest,
             request.id,
-            self._clock.now() + self._claim_s,
+            self._clock.now() + self._claim_lifetime_s,
         )
         match granted:
             case Result(tag="error", error=problem):
                 return Error(problem)
             case Result(tag="ok", ok=Replay(answer=answer)):
-                return Ok(await way.replay(answer))
+                return Ok(await handlers.replay(answer))
         claimed = granted.ok
         result: Result[A, Fault] | None = None
         try:
-            result = await self._run_in_time(run, way)
+            result = await self._run_until_deadline(run, handlers)
             return result
         finally:
-            await self._settle(claimed, run, result, way)
+            await self._settle(claimed, run, result, handlers)
 
-    async def _run_in_time(self, run: RequestRun, way: "_Way[A]") -> Result[A, Fault]:
+    async def _run_until_deadline(
+        self, run: RequestRun, handlers: "_Handlers[A]"
+    ) -> Result[A, Fault]:
         self._observer.admitted(run.request)
         remaining = run.request.deadline - self._clock.now()
         problem = fault(ResultCode.DEADLINE_PASSED)
         with trio.move_on_after(max(0.0, remaining)):
-            problem = await run.run(way.attempt, way.prepare)
+            problem = await run.run(handlers.attempt, handlers.prepare)
         if problem is None:
-            return Ok(way.answer())
+            return Ok(handlers.answer())
         if problem.code is ResultCode.DEADLINE_PASSED and not run.started:
-            problem = fault(ResultCode.EXPIRED_IN_QUEUE, "no target came free in time")
-        return Error(run.honest(problem))
+            problem = fault(
+                ResultCode.EXPIRED_IN_QUEUE, "no target became free before the deadline"
+            )
+        return Error(run.with_proven_outcome(problem))
 
     async def _settle(
         self,
         claimed: Claimed | NoClaim,
         run: RequestRun,
         result: Result[A, Fault] | None,
-        way: "_Way[A]",
+        handlers: "_Handlers[A]",
     ) -> None:
-        """Settle the claim with what is proven, whatever ended the request.
+        """Settle the claim with the proven outcome, whatever ended the request.
 
-        Without the shield a caller that disconnects would leave its claim
-        standing as in flight, and a repeat would be turned away until it
-        lapses although the first run is over.
+        Without the shield, the claim of a caller that disconnects would stay in
+        flight, and a retry would be refused until the claim expires although the
+        first run is over.
         """
         with trio.move_on_after(SETTLE_TIMEOUT_S) as scope:
             scope.shield = True
             if result is not None and result.is_ok():
-                await self._claims.finish(claimed, way.keep())
+                await self._claims.finish(claimed, handlers.encode())
             elif run.started:
                 await self._claims.mark_unknown(claimed)
             else:
                 await self._claims.release(claimed)
 
 
-class _Way(Generic[A]):
-    """How requests of one kind are run, answered, kept and replayed.
+class _Handlers(Generic[A]):
+    """Functions that run, answer, store and replay requests of one kind.
 
     Attributes
     ----------
     attempt : callable
-        Runs one attempt; None means that the request has finished.
+        Runs one attempt; returns None if the request has finished.
     prepare : callable
-        Gets ready for a retry before it starts.
+        Prepares a retry before it starts.
     answer : callable
         Returns the answer of a request that has finished.
-    keep, replay : callable
-        Turn that answer into what a claim keeps, and back for a repeat.
+    encode, replay : callable
+        Convert that answer to the bytes that a claim stores, and replay it from
+        them for a caller's retry.
     """
 
-    __slots__ = ("attempt", "prepare", "answer", "keep", "replay")
+    __slots__ = ("attempt", "prepare", "answer", "encode", "replay")
 
     def __init__(
         self,
         attempt: AttemptRunner,
         prepare: RetryPreparer,
         answer: Callable[[], A],
-        keep: Callable[[], bytes],
+        encode: Callable[[], bytes],
         replay: Callable[[bytes], Awaitable[A]],
     ):
         self.attempt = attempt
         self.prepare = prepare
         self.answer = answer
-        self.keep = keep
+        self.encode = encode
         self.replay = replay
 
 
-def _replayed_tokens(request_id: str, kept: KeptAnswer) -> list[Token]:
-    last = len(kept.texts) - 1
+def _replayed_tokens(request_id: str, stored: StoredAnswer) -> list[Token]:
+    last = len(stored.texts) - 1
     return [
         Token(
             position,
             text,
             Receipt(request_id, 0, position, ()),
-            kept.reason if position == last else None,
+            stored.reason if position == last else None,
         )
-        for position, text in enumerate(kept.texts)
+        for position, text in enumerate(stored.texts)
     ]
 
 
--- a/radishfield/serving/_kv.py
+++ b/radishfield/serving/_kv.py
@@ -5,8 +5,8 @@
 
 from radishfield.core import KvState, LayerRange, Route, Target, TargetPort
 
-# Importing only saves time: past this the new stage rebuilds from the committed
-# tokens, which is always right.
+# Importing the cache only saves time.  After this timeout the new stage rebuilds it
+# from the committed tokens, which is always correct.
 MOVE_TIMEOUT_S = 2.0
 
 
@@ -17,13 +17,13 @@
     exporters: tuple[str, ...],
     route: Route,
 ) -> int:
-    """Export from each exporter and import where the new route needs it.
+    """Export the cache from each exporter and import it where the new route needs it.
 
     Returns
     -------
     int
-        How many imports were taken.  A failed move is no failure of the
-        request: the stage rebuilds its cache.
+        Number of imports that succeeded.  A failed move does not fail the
+        request, since the stage rebuilds its cache.
     """
     moved = 0
     with trio.move_on_after(MOVE_TIMEOUT_S):
--- a/radishfield/serving/_observer.py
+++ b/radishfield/serving/_observer.py
@@ -1,4 +1,4 @@
-"""What the dispatcher tells to whoever keeps records and metrics of requests."""
+"""Interface of observers that keep records and metrics of requests."""
 
 from typing import Protocol
 
@@ -9,60 +9,60 @@
 
 
 class Observer(Protocol):
-    """Called at each step of a request's way; must neither block nor raise."""
+    """Called at each step of a request; must neither block nor raise."""
 
     def arrived(self, request: AnyRequest) -> None:
-        """Note a request at the start of its way."""
+        """Record that a request has arrived."""
 
     def admitted(self, request: AnyRequest) -> None:
-        """Note that the request waits to be dispatched."""
+        """Record that the request waits to be dispatched."""
 
     def dispatched(self, request: AnyRequest, dispatch: Dispatch) -> None:
-        """Note which way an attempt goes, and why."""
+        """Record which route an attempt takes, and why."""
 
     def token(self, request: Request, token: Token) -> None:
-        """Note a committed token, just before it is passed on."""
+        """Record a committed token, just before it is forwarded."""
 
     def reopened(self, request: Request, position: int) -> None:
-        """Note that a silent connection was replaced by a new one."""
+        """Record that a silent connection was replaced by a new one."""
 
     def attempt_failed(
         self, request: AnyRequest, failure: Failure, problem: Fault
     ) -> None:
-        """Note an attempt's failure."""
+        """Record an attempt's failure."""
 
     def retried(self, request: AnyRequest, retry: Retry, problem: Fault) -> None:
-        """Note that another attempt follows."""
+        """Record that another attempt follows."""
 
     def ended(self, request: AnyRequest, problem: Fault | None) -> None:
-        """Note the end; ``problem`` is None where the request finished."""
+        """Record the end; ``problem`` is None if the request finished."""
 
 
 class NullObserver:
-    """Keeps nothing."""
+    """Ignores all steps."""
 
     __slots__ = ()
 
     def arrived(self, request):
-        """Keep nothing."""
+        """Do nothing."""
 
     def admitted(self, request):
-        """Keep nothing."""
+        """Do nothing."""
 
     def dispatched(self, request, dispatch):
-        """Keep nothing."""
+        """Do nothing."""
 
     def token(self, request, token):
-        """Keep nothing."""
+        """Do nothing."""
 
     def reopened(self, request, position):
-        """Keep nothing."""
+        """Do nothing."""
 
     def attempt_failed(self, request, failure, problem):
-        """Keep nothing."""
+        """Do nothing."""
 
     def retried(self, request, retry, problem):
-        """Keep nothing."""
+        """Do nothing."""
 
     def ended(self, request, problem):
-        """Keep nothing."""
+        """Do nothing."""
--- a/radishfield/serving/_queue.py
+++ b/radishfield/serving/_queue.py
@@ -1,4 +1,4 @@
-"""Where admitted requests wait for the scheduler's word."""
+"""Holds admitted requests until the scheduler decides on them."""
 
 import math
 
@@ -8,12 +8,12 @@
 from radishfield.core import Clock, Fault
 from radishfield.decisions import Dispatch, Expired, Refused, Scheduler, Work
 
-# While requests wait, the scheduler is asked at least this often, so that one
-# whose time passes leaves the queue although nothing else happens.
-LONGEST_PAUSE_S = 0.25
+# While requests wait, the scheduler is polled at least this often, so that an expired
+# request leaves the queue even if nothing else happens.
+MAX_PAUSE_S = 0.25
 
 
-class _Waiting:
+class _Waiter:
     __slots__ = ("decided", "decision")
 
     def __init__(self):
@@ -22,56 +22,56 @@
 
 
 class DispatchQueue:
-    """Hands each admitted request exactly one decision.
+    """Delivers exactly one decision to each admitted request.
 
-    The scheduler owns the order; this class owns the waking.  ``pump`` is
-    called after every change that may let something go.
+    The scheduler determines the order, and this class wakes the waiting tasks.
+    ``pump`` is called after every change that may allow a dispatch.
     """
 
-    __slots__ = ("_scheduler", "_clock", "_waiting_by_request", "_changed")
+    __slots__ = ("_scheduler", "_clock", "_waiter_by_request_id", "_changed")
 
     def __init__(self, scheduler: Scheduler, clock: Clock):
         self._scheduler = scheduler
         self._clock = clock
-        self._waiting_by_request: dict[str, _Waiting] = {}
+        self._waiter_by_request_id: dict[str, _Waiter] = {}
         self._changed = trio.Event()
 
     def __len__(self) -> int:
-        return len(self._waiting_by_request)
+        return len(self._waiter_by_request_id)
 
-    async def wait_turn(self, work: Work) -> Result[Dispatch, Fault]:
+    async def wait_for_dispatch(self, work: Work) -> Result[Dispatch, Fault]:
         """Offer the work and wait until it is dispatched, refused or expired.
 
-        Cancelled while it waits, the work is withdrawn.  Where a dispatch has
-        been decided in the same instant, the scheduler is told that it ended:
-        an entry is dispatched or withdrawn, never both, and its share of a
-        target's limit is never left taken.
+        If the wait is cancelled, the work is withdrawn.  If a dispatch was decided
+        at the same instant, it is reported to the scheduler as ended instead.  An
+        entry is dispatched or withdrawn, never both, and its share of a target's
+        limit is always released.
         """
         admitted = self._scheduler.offer(work, self._clock.now())
         if isinstance(admitted, Refused):
             return Error(admitted.fault)
-        waiting = _Waiting()
-        self._waiting_by_request[work.request_id] = waiting
+        waiter = _Waiter()
+        self._waiter_by_request_id[work.request_id] = waiter
         self.pump()
         try:
-            await waiting.decided.wait()
+            await waiter.decided.wait()
         except trio.Cancelled:
-            self._abandon(work, waiting)
+            self._abandon(work, waiter)
             raise
-        if isinstance(waiting.decision, Dispatch):
-            return Ok(waiting.decision)
-        return Error(waiting.decision.fault)
+        if isinstance(waiter.decision, Dispatch):
+            return Ok(waiter.decision)
+        return Error(waiter.decision.fault)
 
     def pump(self) -> None:
-        """Pass every decision that is due on to the one who waits for it."""
+        """Deliver every decision that is due to the task that waits for it."""
         for decision in self._scheduler.take(self._clock.now()):
-            waiting = self._waiting_by_request.pop(decision.work.request_id)
-            waiting.decision = decision
-            waiting.decided.set()
+            waiter = self._waiter_by_request_id.pop(decision.work.request_id)
+            waiter.decision = decision
+            waiter.decided.set()
         self._changed.set()
 
     async def run_wakeups(self) -> None:
-        """Call `pump` whenever the scheduler asks to be woken."""
+        """Call `pump` at each time that the scheduler requests a wake-up."""
         while True:
             self._changed = trio.Event()
             with trio.move_on_after(self._pause_s()) as scope:
@@ -82,14 +82,14 @@
     def _pause_s(self) -> float:
         now = self._clock.now()
         wakeup = self._scheduler.next_wakeup(now)
-        longest = LONGEST_PAUSE_S if self._waiting_by_request else math.inf
-        return longest if wakeup is None else min(longest, max(0.001, wakeup - now))
+        limit_s = MAX_PAUSE_S if self._waiter_by_request_id else math.inf
+        return limit_s if wakeup is None else min(limit_s, max(0.001, wakeup - now))
 
-    def _abandon(self, work: Work, waiting: _Waiting) -> None:
-        self._waiting_by_request.pop(work.request_id, None)
+    def _abandon(self, work: Work, waiter: _Waiter) -> None:
+        self._waiter_by_request_id.pop(work.request_id, None)
         now = self._clock.now()
         if self._scheduler.withdraw(work.request_id, now):
             return
-        if isinstance(waiting.decision, Dispatch):
+        if isinstance(waiter.decision, Dispatch):
             self._scheduler.ended(work.request_id, False, now)
             self.pump()
--- a/radishfield/serving/_run.py
+++ b/radishfield/serving/_run.py
@@ -1,4 +1,4 @@
-"""One request's way from the queue to its end, over all its attempts."""
+"""Runs one request from the queue to its end, over all its attempts."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import replace
@@ -33,21 +33,21 @@
 
 
 class RequestRun:
-    """Waits for the request's turn, then runs attempts until one ends it.
+    """Waits until the request is dispatched, then runs attempts until one ends it.
 
     Attributes
     ----------
     started : bool
         Whether any byte of the request may have reached a target, in any
-        attempt.  Every answer "not run" hangs on it: it is set before a send is
-        tried, and taken back only where the failed send proves otherwise.
+        attempt.  Every answer "not run" depends on it: it is set before a send is
+        tried, and reset only if the failed send proves that no byte arrived.
     """
 
     __slots__ = (
         "request",
         "work",
         "started",
-        "_begun",
+        "_answer_started",
         "_crashes",
         "_digest",
         "_scheduler",
@@ -65,7 +65,7 @@
         observer: Observer,
         clock: Clock,
         crashes: TargetCrashes,
-        begun: Callable[[], bool],
+        answer_started: Callable[[], bool],
     ):
         self.request = request
         self.work = work
@@ -76,29 +76,29 @@
         self._clock = clock
         self._crashes = crashes
         self._digest = digest_of(request)
-        self._begun = begun
+        self._answer_started = answer_started
 
     async def run(
         self,
         attempt: AttemptRunner,
         prepare: Callable[[Retry], Awaitable],
     ) -> Fault | None:
-        """Return None once finished, or the fault to tell the caller."""
+        """Return None once finished, or the fault to report to the caller."""
         refusal = self._refusal()
         if refusal is not None:
             return refusal
-        turn = None
-        with trio.CancelScope() as scope, self._stopped_by(scope.cancel):
-            turn = await self._queue.wait_turn(self.work)
-        if turn is None:
-            # It may have been cleared since; this run is over all the same.
-            stopped = fault(ResultCode.CRASHES_TARGETS, "stopped in line")
-            return self._refusal() or self.honest(stopped)
-        if turn.is_error():
-            return self.honest(turn.error)
+        decision = None
+        with trio.CancelScope() as scope, self._stop_when_refused(scope.cancel):
+            decision = await self._queue.wait_for_dispatch(self.work)
+        if decision is None:
+            # The request may have been cleared since, but this run has been stopped.
+            stopped = fault(ResultCode.CRASHES_TARGETS, "stopped in the queue")
+            return self._refusal() or self.with_proven_outcome(stopped)
+        if decision.is_error():
+            return self.with_proven_outcome(decision.error)
         finished = False
         try:
-            problem = await self._attempts(turn.ok, attempt, prepare)
+            problem = await self._run_attempts(decision.ok, attempt, prepare)
             finished = problem is None
             return problem
         finally:
@@ -106,19 +106,19 @@
             self._queue.pump()
 
     def _refusal(self) -> Fault | None:
-        """Return why the request is sent to no further target, or None."""
+        """Return why the request may not be sent to any more targets, or None."""
         guard = self._crashes.guard
         return guard.refusal(self._digest, self.request.id, self.started)
 
-    def _stopped_by(self, stop: Callable[[], None]):
+    def _stop_when_refused(self, stop: Callable[[], None]):
         return self._crashes.guard.running(self._digest, stop)
 
-    def honest(self, problem: Fault) -> Fault:
+    def with_proven_outcome(self, problem: Fault) -> Fault:
         """Return the fault with the outcome that this run has proven."""
         outcome = Outcome.UNKNOWN if self.started else Outcome.NOT_RUN
         return replace(problem, proven_outcome=outcome)
 
-    async def _attempts(
+    async def _run_attempts(
         self,
         dispatch: Dispatch,
         attempt: AttemptRunner,
@@ -130,12 +130,12 @@
             if refusal is not None:
                 return refusal
             self._observer.dispatched(self.request, dispatch)
-            failure = await self._one(dispatch, attempt)
+            failure = await self._run_attempt(dispatch, attempt)
             if failure is None:
                 return None
             if failure.problem.code is ResultCode.CRASHES_TARGETS:
-                return self._refusal() or self.honest(failure.problem)
-            report = self._report(dispatch, failure)
+                return self._refusal() or self.with_proven_outcome(failure.problem)
+            report = self._failure_report(dispatch, failure)
             if failure.started and not failure.outlived_start:
                 await self._crashes.note_failure(
                     self._digest, report.target_id, failure.problem
@@ -144,20 +144,22 @@
             decision = self._scheduler.failed(report, self._clock.now())
             if isinstance(decision, GiveUp):
                 await self._crashes.guard.settle(self._digest, self.work.deadline)
-                return self._refusal() or self.honest(decision.fault)
+                return self._refusal() or self.with_proven_outcome(decision.fault)
             self._observer.retried(self.request, decision, failure.problem)
             await trio.sleep(decision.after_s)
             await prepare(decision)
             dispatch = decision.dispatch
 
-    async def _one(
+    async def _run_attempt(
         self, dispatch: Dispatch, attempt: AttemptRunner
     ) -> AttemptFailure | None:
         started_before = self.started
         self.started = True
         failure = AttemptFailure(fault(ResultCode.CRASHES_TARGETS, "stopped"), True)
         with trio.CancelScope() as scope:
-            with self._stopped_by(lambda: self._begun() or scope.cancel()):
+            with self._stop_when_refused(
+                lambda: self._answer_started() or scope.cancel()
+            ):
                 failure = await attempt(dispatch)
         if failure is None:
             self._crashes.guard.outlived(self._digest, self.request.id)
@@ -165,10 +167,10 @@
             self.started = started_before
         return failure
 
-    def _report(self, dispatch: Dispatch, failure: AttemptFailure) -> Failure:
+    def _failure_report(self, dispatch: Dispatch, failure: AttemptFailure) -> Failure:
         return Failure(
             self.work.request_id,
-            _blamed(dispatch, failure.problem),
+            _failed_target_id(dispatch, failure.problem),
             FAILURE_KIND_BY_CODE.get(failure.problem.code, FailureKind.BROKEN),
             self.started,
             failure.committed,
@@ -176,7 +178,7 @@
         )
 
 
-def _blamed(dispatch: Dispatch, problem: Fault) -> str:
+def _failed_target_id(dispatch: Dispatch, problem: Fault) -> str:
     if problem.target_id:
         return problem.target_id
     if dispatch.target is not None:
--- a/radishfield/serving/_target_crashes.py
+++ b/radishfield/serving/_target_crashes.py
@@ -1,4 +1,4 @@
-"""Requests that end the targets which run them, as the dispatcher keeps them out."""
+"""Detects and refuses requests that crash the targets which run them."""
 
 from collections.abc import Awaitable, Callable, Iterable
 
@@ -6,57 +6,62 @@
 from radishfield.crashes import CrashGuard, listens, request_digest
 from radishfield.serving._observer import AnyRequest
 
-TargetLook = Callable[[Target], Awaitable[bool | None]]
-"""Returns whether a target listens; None where that can't be told."""
+ListenCheck = Callable[[Target], Awaitable[bool | None]]
+"""Returns whether a target listens; None if that cannot be determined."""
 
 BROKEN_CODES = frozenset(
     {
         ResultCode.STREAM_BROKEN,
         ResultCode.ANSWER_TRUNCATED,
-        # A stream is attached to again before its attempt counts as failed.
+        # A broken stream is reopened before its attempt counts as failed.
         ResultCode.CONNECT_FAILED,
     }
 )
-"""Ends of a started attempt that the end of its target may have caused."""
+"""Failures of a started attempt that a crash of its target may have caused."""
 
 
 async def look_at_address(target: Target) -> bool | None:
-    """Return whether anybody listens at a target's address."""
+    """Return whether anything listens at a target's address."""
     host, _, port = target.address.rpartition(":")
     return await listens(host, int(port))
 
 
-async def look_nowhere(target: Target) -> bool | None:
-    """Return that nothing can be told, for targets without an address."""
+async def skip_listen_check(target: Target) -> bool | None:
+    """Return None: targets without an address cannot be checked."""
     return None
 
 
 def digest_of(request: AnyRequest) -> str:
-    """Return what a request shares with the same one under another id."""
+    """Return a digest that is equal for the same request under another id."""
     body = request.body_digest or request.id
     parts = (request.profile.name, request.workspace, body)
     return request_digest(part.encode() for part in parts)
 
 
 class TargetCrashes:
-    """Counts targets that end under requests, and refuses requests for them."""
+    """Counts target crashes under requests, and refuses requests because of them."""
 
-    __slots__ = ("_look", "_target_by_id", "guard")
+    __slots__ = ("_check_listening", "_target_by_id", "guard")
 
-    def __init__(self, guard: CrashGuard, look: TargetLook = look_nowhere):
+    def __init__(
+        self, guard: CrashGuard, check_listening: ListenCheck = skip_listen_check
+    ):
         self.guard = guard
-        self._look = look
+        self._check_listening = check_listening
         self._target_by_id: dict[str, Target] = {}
 
     def set_targets(self, targets: Iterable[Target]) -> None:
-        """Replace the view of targets."""
+        """Replace the known targets."""
         self._target_by_id = {target.id: target for target in targets}
 
     async def note_failure(self, digest: str, target_id: str, problem: Fault) -> None:
-        """Look at the target of a started attempt that broke, and count its end."""
+        """Check the target of a started attempt that broke, and count its crash."""
         target = self._target_by_id.get(target_id)
         if target is None or problem.code not in BROKEN_CODES:
             return
-        # Work that outlasts its target's notice is cut when the target exits.
-        if target.state is TargetState.LIVE and await self._look(target) is False:
+        # Work that outlasts its target's notice is aborted when the target exits.
+        if (
+            target.state is TargetState.LIVE
+            and await self._check_listening(target) is False
+        ):
             self.guard.count(digest, target.id, target.incarnation)
