--- a/radishfield/serving/_crash_sharing.py
+++ b/radishfield/serving/_crash_sharing.py
@@ -40,7 +40,7 @@
         peers.hear(CRASHES_TOPIC, self._receive)
 
     async def run(self, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED):
-        """Send new reports, and resend the lasting ones, until cancelled."""
+        """Send new reports, and resend those of several crashes, until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._send_unsent)
             nursery.start_soon(self._resend)
--- a/radishfield/serving/_dispatcher.py
+++ b/radishfield/serving/_dispatcher.py
@@ -176,13 +176,13 @@
         def answer() -> Finished:
             return Finished(state.finish or "stop")
 
-        def encode() -> bytes:
+        def encode_answer() -> bytes:
             stored = StoredAnswer(list(state.committed), state.finish or "stop")
             return msgspec.msgpack.encode(stored)
 
         run = self._new_run(request, _work_of(request), lambda: bool(state.committed))
         return await self._serve(
-            run, _Handlers(run_attempt, prepare, answer, encode, replay)
+            run, _Way(run_attempt, prepare, answer, encode_answer, replay)
         )
 
     async def call_service(
@@ -207,7 +207,7 @@
             stored = msgspec.msgpack.decode(answer, type=ServiceAnswer)
             return replace(stored, code=ResultCode.REPLAYED)
 
-        def encode() -> bytes:
+        def encode_answer() -> bytes:
             return msgspec.msgpack.encode(answers[0])
 
         def answer() -> ServiceAnswer:
@@ -215,7 +215,7 @@
 
         run = self._new_run(request, _work_of_call(request), lambda: False)
         return await self._serve(
-            run, _Handlers(run_attempt, prepare, answer, encode, replay)
+            run, _Way(run_attempt, prepare, answer, encode_answer, replay)
         )
 
     def _new_run(
@@ -250,9 +250,7 @@
                 for target in route:
                     self._canceller.cancel(target, request_id, dispatch.attempt)
 
-    async def _serve(
-        self, run: RequestRun, handlers: "_Handlers[A]"
-    ) -> Result[A, Fault]:
+    async def _serve(self, run: RequestRun, handlers: "_Way[A]") -> Result[A, Fault]:
         request = run.request
         self._observer.arrived(request)
         self._in_flight += 1
@@ -269,7 +267,7 @@
             self._observer.ended(request, problem)
 
     async def _serve_claimed(
-        self, run: RequestRun, handlers: "_Handlers[A]"
+        self, run: RequestRun, handlers: "_Way[A]"
     ) -> Result[A, Fault]:
         request = run.request
         if request.profile.idempotent or not request.idempotency_key:
@@ -295,7 +293,7 @@
             await self._settle(claimed, run, result, handlers)
 
     async def _run_until_deadline(
-        self, run: RequestRun, handlers: "_Handlers[A]"
+        self, run: RequestRun, handlers: "_Way[A]"
     ) -> Result[A, Fault]:
         self._observer.admitted(run.request)
         remaining = run.request.deadline - self._clock.now()
@@ -315,7 +313,7 @@
         claimed: Claimed | NoClaim,
         run: RequestRun,
         result: Result[A, Fault] | None,
-        handlers: "_Handlers[A]",
+        handlers: "_Way[A]",
     ) -> None:
         """Settle the claim with the proven outcome, whatever ended the request.
 
@@ -326,14 +324,14 @@
         with trio.move_on_after(SETTLE_TIMEOUT_S) as scope:
             scope.shield = True
             if result is not None and result.is_ok():
-                await self._claims.finish(claimed, handlers.encode())
+                await self._claims.finish(claimed, handlers.encode_answer())
             elif run.started:
                 await self._claims.mark_unknown(claimed)
             else:
                 await self._claims.release(claimed)
 
 
-class _Handlers(Generic[A]):
+class _Way(Generic[A]):
     """Functions that run, answer, store and replay requests of one kind.
 
     Attributes
@@ -344,25 +342,25 @@
         Prepares a retry before it starts.
     answer : callable
         Returns the answer of a request that has finished.
-    encode, replay : callable
+    encode_answer, replay : callable
         Convert that answer to the bytes that a claim stores, and replay it from
         them for a caller's retry.
     """
 
-    __slots__ = ("attempt", "prepare", "answer", "encode", "replay")
+    __slots__ = ("attempt", "prepare", "answer", "encode_answer", "replay")
 
     def __init__(
         self,
         attempt: AttemptRunner,
         prepare: RetryPreparer,
         answer: Callable[[], A],
-        encode: Callable[[], bytes],
+        encode_answer: Callable[[], bytes],
         replay: Callable[[bytes], Awaitable[A]],
     ):
         self.attempt = attempt
         self.prepare = prepare
         self.answer = answer
-        self.encode = encode
+        self.encode_answer = encode_answer
         self.replay = replay
 
 
--- a/radishfield/serving/crashes_test.py
+++ b/radishfield/serving/crashes_test.py
@@ -1,4 +1,4 @@
-"""Requests that end the targets which run them, at entry hosts that tell each other."""
+"""Tests of requests that crash their targets, at entry hosts that share reports."""
 
 from contextlib import asynccontextmanager
 
@@ -31,10 +31,10 @@
 
 
 class CrashingTargets:
-    """Targets that end when they begin to run a request, or hold it for ever."""
+    """Targets that crash when they start to run a request, or hold it forever."""
 
     def __init__(self, holds=False):
-        self.ended = []
+        self.crashed = []
         self.opened = []
         self._holds = holds
 
@@ -43,10 +43,10 @@
         self.opened.append(target.id)
         if self._holds:
             await trio.sleep_forever()
-        if target.id in self.ended:
+        if target.id in self.crashed:
             yield Error(fault(ResultCode.CONNECT_FAILED))
             return
-        self.ended.append(target.id)
+        self.crashed.append(target.id)
         yield Ok(BrokenStream())
 
     @asynccontextmanager
@@ -54,16 +54,16 @@
         yield Error(fault(ResultCode.CONNECT_FAILED))
 
     async def call(self, target, request):
-        if target.id in self.ended:
+        if target.id in self.crashed:
             return Error(fault(ResultCode.CONNECT_FAILED))
-        self.ended.append(target.id)
+        self.crashed.append(target.id)
         return Error(fault(ResultCode.STREAM_BROKEN))
 
     async def cancel(self, target, request_id, attempt):
         return Ok(None)
 
-    async def look(self, target):
-        return target.id not in self.ended
+    async def check_listening(self, target):
+        return target.id not in self.crashed
 
 
 class BrokenStream:
@@ -72,13 +72,13 @@
 
 
 class Peers:
-    """The network between hosts that all reach each other."""
+    """The network between hosts that all reach each other unless partitioned."""
 
     def __init__(self):
         self.handler_by_host = {}
-        self.cut = set()
+        self.partitioned = set()
 
-    def of(self, host_id):
+    def for_host(self, host_id):
         return PeersOfHost(self, host_id)
 
 
@@ -88,14 +88,14 @@
         self._host_id = host_id
 
     def members(self):
-        return [Member(each, "a", each, 1) for each in self._peers.handler_by_host]
+        return [Member(name, "a", name, 1) for name in self._peers.handler_by_host]
 
     def hear(self, topic, handler):
         self._peers.handler_by_host[self._host_id] = handler
 
     async def tell(self, members, topic, payload):
         for member in members:
-            if not {member, self._host_id} & self._peers.cut:
+            if not {member, self._host_id} & self._peers.partitioned:
                 self._peers.handler_by_host[member](self._host_id, payload)
 
 
@@ -111,10 +111,13 @@
 ):
     """Start an entry host's dispatcher; return it with its guard."""
     guard = CrashGuard(name, TrioClock())
-    sharing = CrashSharing(SpreadSettings(name, "a"), peers.of(name), guard)
+    sharing = CrashSharing(SpreadSettings(name, "a"), peers.for_host(name), guard)
     await nursery.start(sharing.run)
     dispatcher = Dispatcher(
-        Scheduler(), targets, TrioClock(), crashes=TargetCrashes(guard, targets.look)
+        Scheduler(),
+        targets,
+        TrioClock(),
+        crashes=TargetCrashes(guard, targets.check_listening),
     )
     await nursery.start(dispatcher.run)
     dispatcher.set_targets([target(number, kind) for number in range(count)], "a")
@@ -137,42 +140,42 @@
     )
 
 
-def run(scene):
+def run_scenario(scenario):
     async def main():
         with trio.fail_after(300):
             async with trio.open_nursery() as nursery:
-                await scene(nursery, Peers())
+                await scenario(nursery, Peers())
                 nursery.cancel_scope.cancel()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0.01))
 
 
-def assert_refused_unrun(result):
+def assert_refused_and_not_run(result):
     assert result.error.code is ResultCode.CRASHES_TARGETS
     assert result.error.outcome is Outcome.NOT_RUN
     assert result.error.retry_after_s > 60
 
 
-def test_stream_that_crashes_its_targets_is_sent_on_by_no_host():
-    """Guards against each entry host finding out anew at four more targets."""
+def test_stream_that_crashes_its_targets_is_refused_by_every_host():
+    """Guards against every entry host detecting crashes anew at four more targets."""
 
-    async def scene(nursery, peers):
+    async def scenario(nursery, peers):
         targets = CrashingTargets()
         hosts = [await add_host(nursery, peers, targets, name) for name in "ab"]
         first = await hosts[0][0].generate(request("r1"), None)
         assert first.error.code is ResultCode.CRASHES_TARGETS
         assert first.error.outcome is Outcome.UNKNOWN
-        assert len(targets.ended) == 3
-        assert_refused_unrun(await hosts[1][0].generate(request("r2"), None))
-        assert len(targets.ended) == 3
+        assert len(targets.crashed) == 3
+        assert_refused_and_not_run(await hosts[1][0].generate(request("r2"), None))
+        assert len(targets.crashed) == 3
 
-    run(scene)
+    run_scenario(scenario)
 
 
-def test_plain_call_that_crashes_its_targets_is_sent_on_by_no_host():
-    """Guards against the same for plain services."""
+def test_plain_call_that_crashes_its_targets_is_refused_by_every_host():
+    """Guards against the same failure for plain services."""
 
-    async def scene(nursery, peers):
+    async def scenario(nursery, peers):
         targets = CrashingTargets()
         kind = TargetKind.SERVICE
         hosts = [await add_host(nursery, peers, targets, name, kind) for name in "ab"]
@@ -180,67 +183,69 @@
             dispatcher, _ = hosts[number % 2]
             await dispatcher.call_service(service_request(f"r{number}"))
             await trio.sleep(1.0)
-        assert len(targets.ended) == 3
-        assert_refused_unrun(await hosts[0][0].call_service(service_request("r9")))
+        assert len(targets.crashed) == 3
+        assert_refused_and_not_run(
+            await hosts[0][0].call_service(service_request("r9"))
+        )
 
-    run(scene)
+    run_scenario(scenario)
 
 
-def test_attempts_that_may_run_once_are_counted_over_hosts():
-    """Guards against unrepeatable requests that come again and cost a target each."""
+def test_crashes_under_non_idempotent_requests_are_counted_over_hosts():
+    """Guards against resent non-idempotent requests that crash one target each."""
 
-    async def scene(nursery, peers):
+    async def scenario(nursery, peers):
         targets = CrashingTargets()
         hosts = [await add_host(nursery, peers, targets, name) for name in "abc"]
         for number in range(6):
             dispatcher, _ = hosts[number % 3]
             await dispatcher.generate(request(f"r{number}", idempotent=False), None)
             await trio.sleep(0.5)
-        assert len(targets.ended) == 3
+        assert len(targets.crashed) == 3
 
-    run(scene)
+    run_scenario(scenario)
 
 
-def test_host_that_missed_the_news_is_told_again():
-    """Guards against a host that starts, or comes back, and finds out for itself."""
+def test_host_that_missed_a_crash_report_receives_it_later():
+    """Guards against a started or reconnected host that must detect crashes itself."""
 
-    async def scene(nursery, peers):
+    async def scenario(nursery, peers):
         targets = CrashingTargets()
         hosts = [await add_host(nursery, peers, targets, name) for name in "ab"]
-        peers.cut = {"b"}
+        peers.partitioned = {"b"}
         await hosts[0][0].generate(request("r1"), None)
         late, _ = await add_host(nursery, peers, targets, "c")
-        peers.cut = set()
+        peers.partitioned = set()
         await trio.sleep(3.0)
         for dispatcher in (hosts[1][0], late):
-            assert_refused_unrun(await dispatcher.generate(request("r2"), None))
-        assert len(targets.ended) == 3
+            assert_refused_and_not_run(await dispatcher.generate(request("r2"), None))
+        assert len(targets.crashed) == 3
 
-    run(scene)
+    run_scenario(scenario)
 
 
-def prove(guard, digest):
+def report_crashes(guard, digest):
     ends = [ToldEnd(f"gone-{number}", 1, "z", 1.0) for number in range(3)]
     guard.learn([CrashReport(digest, ends)], "z")
 
 
-async def answer_after_proof(nursery, dispatcher, guard, name="r1"):
-    """Return the result of a request that is proven guilty after it was sent."""
+async def result_after_crash_reports(nursery, dispatcher, guard, name="r1"):
+    """Send a request, prove that it crashes targets, and return its result."""
     results = []
-    asked = request(name)
+    pending_request = request(name)
 
     async def call():
-        results.append(await dispatcher.generate(asked, None))
+        results.append(await dispatcher.generate(pending_request, None))
 
     nursery.start_soon(call)
     await trio.sleep(0.5)
-    prove(guard, digest_of(asked))
+    report_crashes(guard, digest_of(pending_request))
     await trio.sleep(0.5)
     return results[0]
 
 
-def fill_line(nursery, dispatcher):
-    """Send so many requests that the next one has to wait."""
+def fill_queue(nursery, dispatcher):
+    """Send enough requests that the next one has to wait."""
     profile = Profile("p", "m")
     for number in range(40):
         digest = f"other-{number}"
@@ -248,67 +253,67 @@
         nursery.start_soon(dispatcher.generate, other, None)
 
 
-def test_request_in_line_hears_at_once_that_it_is_refused():
-    """Guards against a request that waits out its line before it is refused."""
+def test_queued_request_is_refused_at_once():
+    """Guards against a request that waits its full queue time before it is refused."""
 
-    async def scene(nursery, peers):
+    async def scenario(nursery, peers):
         targets = CrashingTargets(holds=True)
         dispatcher, guard = await add_host(nursery, peers, targets, "a", count=1)
-        fill_line(nursery, dispatcher)
+        fill_queue(nursery, dispatcher)
         await trio.sleep(0.1)
         opened = len(targets.opened)
-        result = await answer_after_proof(nursery, dispatcher, guard)
-        assert_refused_unrun(result)
+        result = await result_after_crash_reports(nursery, dispatcher, guard)
+        assert_refused_and_not_run(result)
         assert len(targets.opened) == opened
 
-    run(scene)
+    run_scenario(scenario)
 
 
-def test_request_that_is_cleared_as_it_is_taken_out_of_line_is_not_finished():
-    """Guards against an empty answer given as whole to a request that never ran."""
+def test_request_cleared_while_it_leaves_the_queue_is_not_finished():
+    """Guards against an empty answer sent as complete to a request that never ran."""
 
-    async def scene(nursery, peers):
+    async def scenario(nursery, peers):
         targets = CrashingTargets(holds=True)
         dispatcher, guard = await add_host(nursery, peers, targets, "a", count=0)
-        asked, results = request("r1"), []
+        pending_request, results = request("r1"), []
 
         async def call():
-            results.append(await dispatcher.generate(asked, None))
+            results.append(await dispatcher.generate(pending_request, None))
 
         dispatcher.set_targets([target(0, TargetKind.ENGINE)], "a")
-        fill_line(nursery, dispatcher)
+        fill_queue(nursery, dispatcher)
         await trio.sleep(0.1)
         nursery.start_soon(call)
         await trio.sleep(0.5)
         ends = [ToldEnd(f"gone-{number}", 1, "z", 1.0) for number in range(3)]
         now = trio.current_time()
-        guard.book.merge(CrashReport(digest_of(asked), ends), now)
+        guard.book.merge(CrashReport(digest_of(pending_request), ends), now)
         guard._look(lambda digest, verdict: guard.outlived(digest, "r0"))
         await trio.sleep(0.1)
         assert results[0].error.outcome is Outcome.NOT_RUN
 
-    run(scene)
+    run_scenario(scenario)
 
 
-def test_request_on_its_way_is_called_back_before_its_target_runs_it():
-    """Guards against a target lost to a request that was sent before the proof."""
+def test_sent_request_is_stopped_before_its_target_runs_it():
+    """Guards against a target crashed by a request that was sent before the proof."""
 
-    async def scene(nursery, peers):
+    async def scenario(nursery, peers):
         targets = CrashingTargets(holds=True)
         dispatcher, guard = await add_host(nursery, peers, targets, "a")
-        result = await answer_after_proof(nursery, dispatcher, guard)
+        result = await result_after_crash_reports(nursery, dispatcher, guard)
         assert result.error.code is ResultCode.CRASHES_TARGETS
         assert result.error.outcome is Outcome.UNKNOWN
 
-    run(scene)
+    run_scenario(scenario)
 
 
-def test_connections_that_break_at_living_targets_prove_nothing():
-    """Guards against a reset connection taken for the end of its target."""
+def test_broken_connections_to_running_targets_do_not_count_as_crashes():
+    """Guards against a reset connection counted as a crash of its target."""
 
-    async def scene(nursery, peers):
+    async def scenario(nursery, peers):
         targets = CrashingTargets()
-        targets.look = lives
+        targets.check_listening = always_listening
         dispatcher, guard = await add_host(nursery, peers, targets, "a")
         for number in range(3):
             result = await dispatcher.generate(request(f"r{number}"), None)
@@ -316,8 +321,8 @@
             await trio.sleep(10.0)
         assert len(guard.book) == 0
 
-    run(scene)
+    run_scenario(scenario)
 
 
-async def lives(target):
+async def always_listening(target):
     return True
--- a/radishfield/serving/dispatcher_test.py
+++ b/radishfield/serving/dispatcher_test.py
@@ -28,10 +28,10 @@
 
 
 class ScriptedTargets:
-    """A `TargetPort` whose streams follow a script, one list a connection.
+    """A `TargetPort` whose streams follow a script, one list per connection.
 
-    An ``int`` item is a token's position; a `Fault` ends the connection; None
-    waits for ever.  A script that is a `Fault` fails the opening.
+    An ``int`` item is a token's position, a `Fault` ends the connection, and None
+    waits forever.  A script that is itself a `Fault` makes the opening fail.
     """
 
     def __init__(self, *scripts):
@@ -91,7 +91,7 @@
     )
 
 
-def run_one(targets, idempotent=True, patience_s=None):
+def serve_request(targets, idempotent=True, caller_timeout_s=None):
     """Serve one request; return its result, the texts and the dispatcher."""
     sink = ListSink()
     dispatcher = Dispatcher(Scheduler(), targets, TrioClock())
@@ -104,7 +104,7 @@
             now = trio.current_time()
             profile = Profile("p", "m", idempotent=idempotent)
             request = Request("r", "w", profile, "hello", 3, now, now + 30.0)
-            with trio.move_on_after(patience_s or 1000):
+            with trio.move_on_after(caller_timeout_s or 1000):
                 results.append(await dispatcher.generate(request, sink))
             await trio.sleep(2)
             nursery.cancel_scope.cancel()
@@ -113,51 +113,51 @@
     return (results[0] if results else None), sink.texts, dispatcher
 
 
-def test_whole_answer():
-    result, texts, dispatcher = run_one(ScriptedTargets([0, 1, 2]))
+def test_complete_answer():
+    result, texts, dispatcher = serve_request(ScriptedTargets([0, 1, 2]))
     assert result.ok.reason == "length"
     assert texts == ["w0", "w1", "w2"]
     assert dispatcher.in_flight == 0
 
 
-def test_silent_connection_is_replaced_before_its_target_is_judged():
-    """The caller sees one whole answer, without a retry.
+def test_silent_connection_is_replaced_before_its_target_counts_as_faulty():
+    """The caller receives one complete answer, without a retry.
 
     The first connection goes silent after one token.  A new connection attaches
-    to the same attempt and brings the rest: nothing is started twice, so this
-    is right even for a request that may not run twice.
+    to the same attempt and delivers the rest.  Nothing is started twice, so this is
+    correct even for a request that may not run twice.
     """
     targets = ScriptedTargets([0, fault(ResultCode.STREAM_SILENT)], [1, 2])
-    result, texts, _ = run_one(targets, idempotent=False)
+    result, texts, _ = serve_request(targets, idempotent=False)
     assert result.is_ok()
     assert texts == ["w0", "w1", "w2"]
     assert [kind for kind, _, _ in targets.opened] == ["start", "reopen"]
 
 
-def test_target_that_does_not_answer_a_new_connection_is_judged_at_once():
-    """The caller's answer goes on elsewhere after one silent reopening.
+def test_target_that_does_not_answer_a_new_connection_is_faulty_at_once():
+    """The caller's answer continues at another target after one silent reopening.
 
-    The first stage is stopped: its connection goes silent, and so does the new
-    one.  It is the target, not the path; a second reopening would only make the
-    caller wait as long again.
+    The first stage is stopped, so its connection goes silent and so does the new
+    one.  The target is at fault, not the network path, and a second reopening would
+    only make the caller wait as long again.
     """
     silent = fault(ResultCode.STREAM_SILENT)
     targets = ScriptedTargets([0, silent], silent, [1, 2])
-    result, texts, _ = run_one(targets)
+    result, texts, _ = serve_request(targets)
     assert result.is_ok()
     assert texts == ["w0", "w1", "w2"]
     assert [kind for kind, _, _ in targets.opened] == ["start", "reopen", "start"]
 
 
-def test_silence_alone_does_not_end_an_attempt_that_none_may_follow():
-    """The caller's begun answer is not cut while its target may go on.
+def test_silence_alone_does_not_end_an_attempt_that_cannot_be_replaced():
+    """The caller's started answer is not aborted while its target may continue.
 
-    The host hears nothing for a while, on the first connection and on new ones.
-    The request may not run twice, so nothing could take the attempt's place.
+    The host receives nothing for a while, on the first connection and on new ones.
+    The request may not run twice, so no other attempt could replace this one.
     """
     silent = fault(ResultCode.STREAM_SILENT)
     targets = ScriptedTargets([0, silent], silent, silent, [1, silent], silent, [2])
-    result, texts, _ = run_one(targets, idempotent=False)
+    result, texts, _ = serve_request(targets, idempotent=False)
     assert result.is_ok(), result
     assert texts == ["w0", "w1", "w2"]
     assert [kind for kind, _, _ in targets.opened] == ["start"] + ["reopen"] * 5
@@ -165,14 +165,14 @@
 
 
 def test_idempotent_request_resumes_elsewhere_after_a_stage_died():
-    """The caller sees one whole answer.
+    """The caller receives one complete answer.
 
     The stage dies after two tokens.  The next attempt starts at another target
     with both committed tokens, and the old attempt is cancelled.
     """
     died = fault(ResultCode.STAGE_FAILED)
     targets = ScriptedTargets([0, 1, died], [2])
-    result, texts, _ = run_one(targets)
+    result, texts, _ = serve_request(targets)
     assert result.is_ok()
     assert texts == ["w0", "w1", "w2"]
     first, second = targets.opened
@@ -180,45 +180,45 @@
     assert targets.cancelled == [(first[1], 1)]
 
 
-def test_request_that_may_not_run_twice_is_not_started_again():
-    """The caller is told that the outcome is unknown.
+def test_non_idempotent_request_is_not_started_again():
+    """The caller receives an unknown outcome.
 
-    The stage dies in the first token.  The request may have run, so it is not
+    The stage dies during the first token.  The request may have run, so it is not
     started anywhere else.
     """
     targets = ScriptedTargets([fault(ResultCode.STAGE_FAILED)])
-    result, texts, _ = run_one(targets, idempotent=False)
+    result, texts, _ = serve_request(targets, idempotent=False)
     assert result.error.outcome is Outcome.UNKNOWN
     assert len(targets.opened) == 1
     assert texts == []
 
 
-def test_not_run_is_told_only_while_no_attempt_has_started():
-    """The caller is told "not run": every target refused the connection."""
+def test_not_run_is_reported_only_while_no_attempt_has_started():
+    """The caller receives "not run", since every target refused the connection."""
     refused = Fault(ResultCode.CONNECT_FAILED, proven_outcome=Outcome.NOT_RUN)
     targets = ScriptedTargets(refused, refused, refused, refused, refused)
-    result, _, _ = run_one(targets, idempotent=False)
+    result, _, _ = serve_request(targets, idempotent=False)
     assert result.error.outcome is Outcome.NOT_RUN
 
 
 def test_late_refusal_does_not_hide_an_earlier_start():
-    """The caller is told "unknown", although the last attempt never started.
+    """The caller receives "unknown", although the last attempt never started.
 
-    The first attempt breaks after it was handed over, all later ones fail to
-    connect.  What the last failure proves holds for its own attempt only.
+    The first attempt breaks after it was sent, and all later ones fail to connect.
+    The last failure proves the outcome of its own attempt only.
     """
     refused = Fault(ResultCode.CONNECT_FAILED, proven_outcome=Outcome.NOT_RUN)
     died = fault(ResultCode.STAGE_FAILED)
     targets = ScriptedTargets([died], refused, refused, refused, refused)
-    result, _, _ = run_one(targets)
+    result, _, _ = serve_request(targets)
     assert result.error.outcome is Outcome.UNKNOWN
 
 
 @pytest.mark.parametrize("idempotent", [True, False])
 def test_deadline_ends_a_request_that_hangs(idempotent):
-    """The caller hears at the deadline that the outcome is unknown."""
+    """The caller receives an unknown outcome at the deadline."""
     targets = ScriptedTargets([0, None])
-    result, texts, dispatcher = run_one(targets, idempotent)
+    result, texts, dispatcher = serve_request(targets, idempotent)
     assert result.error.code is ResultCode.DEADLINE_PASSED
     assert result.error.outcome is Outcome.UNKNOWN
     assert texts == ["w0"]
@@ -226,9 +226,9 @@
 
 
 def test_cancelled_caller_leaves_nothing_behind():
-    """The caller disconnects; its attempt is cancelled at the target."""
+    """When the caller disconnects, its attempt is cancelled at the target."""
     targets = ScriptedTargets([0, None])
-    result, _, dispatcher = run_one(targets, patience_s=1.0)
+    result, _, dispatcher = serve_request(targets, caller_timeout_s=1.0)
     assert result is None
     assert len(targets.cancelled) == 1
     assert dispatcher.in_flight == 0 and dispatcher.queued == 0
