--- a/radishfield/core/__init__.py
+++ b/radishfield/core/__init__.py
@@ -1,6 +1,6 @@
-"""The plain data types, result codes and ports that every package passes along.
+"""Defines the data types, result codes and ports that all packages share.
 
-Nothing here does I/O.  Everything else may import from here; this package
+Nothing here does I/O.  Every other package may import from this one, which
 imports from no other part of radishfield.
 """
 
--- a/radishfield/core/_clock.py
+++ b/radishfield/core/_clock.py
@@ -1,4 +1,4 @@
-"""The two clocks: the host's own, and trio's for virtual time in tests."""
+"""Defines the system clock, and trio's clock for virtual time in tests."""
 
 import time
 from typing import Protocol
@@ -7,19 +7,19 @@
 
 
 class Clock(Protocol):
-    """Seconds that never go back and that count while the host is suspended."""
+    """A monotonic clock that also advances while the host is suspended."""
 
     def now(self) -> float:
-        """Return the reading in seconds; only differences have a meaning."""
+        """Return the reading in seconds; only differences are meaningful."""
 
 
 class SystemClock:
     """Seconds since boot, suspension included.
 
-    ``CLOCK_MONOTONIC`` stands still while a host is suspended.  A lease holder
-    that slept through its lease would wake, see no time gone, and go on giving
-    orders beside its successor.  ``CLOCK_BOOTTIME`` counts the sleep, so the
-    holder sees its lease lapsed before it sends anything.
+    ``CLOCK_MONOTONIC`` stops while a host is suspended.  A lease holder that was
+    suspended until its lease expired would resume without noticing, and send
+    orders at the same time as its successor.  ``CLOCK_BOOTTIME`` includes the
+    suspension, so the holder detects the expiry before it sends anything.
     """
 
     __slots__ = ()
@@ -30,7 +30,7 @@
 
 
 class TrioClock:
-    """Trio's own time, so that services run in a test's virtual time."""
+    """Trio's clock, so that services run in a test's virtual time."""
 
     __slots__ = ()
 
--- a/radishfield/core/_codes.py
+++ b/radishfield/core/_codes.py
@@ -1,16 +1,16 @@
-"""Numbered result codes and the outcome each one stands for.
+"""Defines the numbered result codes and the outcome that each one implies.
 
-The number is what a caller, a log line and a metric carry.  The outcome is the
-promise behind it: a code with outcome ``NOT_RUN`` may be given only where no
-byte of the request reached a target, or the target said that it refused the
-request before it started.
+Callers, log lines and metrics receive the number.  The outcome is a guarantee:
+a code with outcome ``NOT_RUN`` may be returned only where no byte of the request
+reached a target, or the target reported that it refused the request before it
+started.
 """
 
 import enum
 
 
 class Outcome(enum.StrEnum):
-    """What the caller may believe about a request that has ended."""
+    """What the caller may assume about a request that has ended."""
 
     FINISHED = "finished"
     NOT_RUN = "not-run"
@@ -108,7 +108,7 @@
 
 _UNKNOWN_CODES = frozenset(
     {
-        # This copy did not run; an earlier one with the same key may have.
+        # This request did not run, but an earlier one with the same key may have.
         ResultCode.CLAIM_UNAVAILABLE,
         ResultCode.DUPLICATE_IN_FLIGHT,
         ResultCode.DUPLICATE_UNKNOWN,
@@ -147,4 +147,4 @@
     *(code for code in ResultCode if 2000 < code < 4000),
     ResultCode.CRASHES_TARGETS,
 )
-"""Codes of requests that the system itself keeps from targets."""
+"""Codes with which the system itself refuses to send a request to targets."""
--- a/radishfield/core/_data.py
+++ b/radishfield/core/_data.py
@@ -1,4 +1,4 @@
-"""The plain data types that everything passes along.
+"""Defines the data types that all packages exchange.
 
 All are frozen data classes with slots.  Units are in the names: ``_s`` seconds,
 ``_tps`` tokens per second, ``_bytes`` bytes.  Times are readings of a `Clock`,
@@ -13,7 +13,7 @@
 
 
 class Priority(enum.IntEnum):
-    """How urgent a profile's work is; a lower number goes first."""
+    """How urgent a profile's work is; a lower number is served first."""
 
     URGENT = 0
     HIGH = 1
@@ -58,15 +58,15 @@
     Attributes
     ----------
     deadline_s : float
-        How late is too late, in seconds from the request's arrival.
+        Time by which a request must finish, in seconds from its arrival.
     idempotent : bool
         Whether a request may run more than once.
     version : int
-        Rises by one with each accepted change; a retired profile keeps its
-        version as a tombstone, so that no stale copy can bring it back.
+        Increases by one with each accepted change; a retired profile keeps its
+        version as a tombstone, so that no stale copy can restore it.
     change_id : str
-        Identity of the change that made this version; it settles a write whose
-        answer was lost.
+        Id of the change that made this version; it shows whether a write whose
+        answer was lost took effect.
     """
 
     name: str
@@ -84,8 +84,8 @@
 class Host:
     """A machine in the platform's list of live and leaving hosts.
 
-    ``address`` is ``ip:port`` of an entry host's peer socket, empty elsewhere;
-    a new entry host finds its first peers by it.
+    ``address`` is ``ip:port`` of an entry host's peer socket, empty for other
+    hosts; a new entry host finds its first peers by it.
     """
 
     id: str
@@ -105,7 +105,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Member:
-    """An entry host as its peers know it; ``incarnation`` rises at each start."""
+    """An entry host as its peers see it; ``incarnation`` increases at each start."""
 
     id: str
     zone: str
@@ -116,18 +116,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Target:
-    """A back end: a model engine that holds a range of layers, or a service.
+    """A model engine that holds a range of layers, or a plain service.
 
     Attributes
     ----------
     address : str
         ``ip:port``.
     incarnation : int
-        Rises each time the target starts; leaving is sticky until it does.
+        Increases each time the target starts; a target that is leaving stays
+        so until then.
     speed_tps : float
         Declared tokens per second through its layers; 0 where not known.
     slots : int
-        Requests that it batches at a time.
+        Requests that it runs in one batch.
     checks_fencing : bool
         Whether it refuses an order that carries an old fencing number.
     """
@@ -160,7 +161,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Stage:
-    """One step of a route: a target, and the layers it runs for this request."""
+    """A stage of a route: a target and the layers it runs for this request."""
 
     target_id: str
     address: str
@@ -169,7 +170,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """The stages a request passes, in order, of one model version."""
+    """The stages that a request passes through, in order, of one model version."""
 
     stages: tuple[Stage, ...]
     model: str = ""
@@ -187,9 +188,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Receipt:
-    """Proof of one token's way through the model.
+    """Proof of the stages that computed one token.
 
-    A token is committed only if its receipt is of the current attempt, of the
+    A token is committed only if its receipt is for the current attempt and the
     next position, and its hops are the route's stages in order.
     """
 
@@ -211,7 +212,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Sampling:
-    """How an engine picks each token; None leaves the engine's own default."""
+    """How an engine selects each token; None keeps the engine's own default."""
 
     temperature: float | None = None
     top_p: float | None = None
@@ -223,14 +224,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A model request, as the caller edge hands it on.
+    """A model request, as the caller edge forwards it.
 
     Attributes
     ----------
     arrived, deadline : float
         Clock readings in seconds.
     body_digest : str
-        Digest of the normalised body; a repeat of an idempotency key with
+        Digest of the normalised body; an idempotency key that is reused with
         another digest is refused.
     """
 
@@ -250,14 +251,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Finished:
-    """How a model request ended well.
+    """The result of a model request that succeeded.
 
     Attributes
     ----------
     reason : str
         The engine's finish reason, ``stop`` or ``length``.
     code : ResultCode
-        ``FINISHED``, or ``REPLAYED`` where a repeat got the first run's answer.
+        ``FINISHED``, or ``REPLAYED`` where a retry got the first run's answer.
     """
 
     reason: str
@@ -284,7 +285,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServiceAnswer:
-    """A plain service's whole answer."""
+    """A plain service's complete answer."""
 
     status: int
     body: bytes
@@ -294,13 +295,13 @@
 
 @dataclass(slots=True, frozen=True)
 class StreamStart:
-    """What the first stage of a route is told at the start of an attempt.
+    """What the first stage of a route receives at the start of an attempt.
 
     Attributes
     ----------
     committed : tuple of str
-        Texts of the tokens committed by earlier attempts; generation goes on
-        at position ``len(committed)``.
+        Texts of the tokens committed by earlier attempts; generation
+        continues at position ``len(committed)``.
     timeout_s : float
         Seconds until the request's deadline; the target stops by itself then.
     """
@@ -329,7 +330,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadReport:
-    """A target's own account of its load; it lags behind by seconds.
+    """A target's report of its load, which is seconds old when it arrives.
 
     Attributes
     ----------
@@ -364,7 +365,7 @@
 
 
 def covers_model_once(ranges: Sequence[LayerRange], model_layers: int) -> bool:
-    """Tell whether the ranges, in order, run every layer exactly once."""
+    """Return whether the ranges, in order, run every layer exactly once."""
     next_layer = 0
     for layer_range in ranges:
         if layer_range.first != next_layer or layer_range.end <= layer_range.first:
--- a/radishfield/core/_errors.py
+++ b/radishfield/core/_errors.py
@@ -1,4 +1,4 @@
-"""The one error value that is passed beside results."""
+"""Defines the error value that results carry."""
 
 from dataclasses import dataclass
 
@@ -16,14 +16,14 @@
     detail : str
         One line for a person; never a traceback.
     retry_after_s : float or None
-        Seconds after which another try has a fair chance; None where another
-        try would not help.
+        Seconds after which a retry has a fair chance of success; None where
+        a retry would not help.
     proven_outcome : Outcome or None
-        Set only where the place of the failure proves more than the code alone
+        Set only where the point of failure proves more than the code alone
         does, for example a broken connection before the first byte was sent.
     target_id : str
-        The target held to be at fault where somebody on the way named it, such
-        as the first stage that saw its successor die; empty where not known.
+        The target at fault where one was named, for example by the first stage
+        that detected its successor's crash; empty where not known.
     """
 
     code: ResultCode
@@ -34,10 +34,10 @@
 
     @property
     def outcome(self) -> Outcome:
-        """Return what the caller may believe about the request."""
+        """Return what the caller may assume about the request."""
         return self.proven_outcome or OUTCOME_BY_CODE[self.code]
 
 
 def fault(code: ResultCode, detail: str = "", retry_after_s: float | None = None):
-    """Return a `Fault` with the outcome that its code stands for."""
+    """Return a `Fault` with the outcome that its code implies."""
     return Fault(code, detail, retry_after_s)
--- a/radishfield/core/_lazy.py
+++ b/radishfield/core/_lazy.py
@@ -1,7 +1,7 @@
-"""Names of a package that are loaded when they are first used.
+"""Imports the names of a package when they are first used.
 
-A router is started again after each fault, and nobody is served until it is loaded; it
-uses a small part of what the packages hold that it shares with the entry host.
+A router restarts after each fault and serves no requests until it is loaded.  It
+needs only a small part of the packages that it shares with the entry host.
 """
 
 from collections.abc import Callable, Mapping
--- a/radishfield/core/_ports.py
+++ b/radishfield/core/_ports.py
@@ -1,8 +1,8 @@
-"""The narrow interfaces behind which the outside world stands.
+"""Defines the interfaces to everything outside the process.
 
-A fake of a port is a few dozen lines; another engine protocol is one module
-that implements `TargetPort`.  Failures come back as `Fault` values inside
-``Result``; only cancellation passes through as an exception.
+The interfaces are narrow: a fake of a port takes a few dozen lines, and another
+engine protocol is one module that implements `TargetPort`.  Failures are returned
+as `Fault` values inside ``Result``; only cancellation is raised as an exception.
 """
 
 from collections.abc import Awaitable, Callable, Sequence
@@ -31,10 +31,10 @@
 
 
 class TokenSink(Protocol):
-    """Where committed tokens leave towards the caller."""
+    """Receives committed tokens for the caller."""
 
     async def push(self, token: Token) -> None:
-        """Pass one committed token on; raise nothing but cancellation."""
+        """Forward one committed token; raise nothing but cancellation."""
 
 
 class TokenStream(Protocol):
@@ -43,7 +43,7 @@
     async def next_tokens(self) -> Result[Sequence[Token], Fault]:
         """Return every token that is ready now, at least one, in order.
 
-        Tokens that arrived together are decoded and passed on together.  A
+        Tokens that arrived together are decoded and forwarded together.  A
         fault that follows good tokens is returned by the next call.  After a
         token with ``finish`` set, the stream is not read again.
         """
@@ -51,14 +51,14 @@
 
 @dataclass(slots=True, frozen=True)
 class TargetOrder:
-    """An order to change what a target holds or does.
+    """An order to change a target's layers, adapter, version or role.
 
     Attributes
     ----------
     kind : str
         ``load-layers``, ``load-adapter``, ``load-version`` or ``set-role``.
     fencing : int
-        Number of the lease under which the order is given.
+        Fencing number of the lease under which the order is sent.
     timeout_s : float
         Seconds from sending after which the target must not start the order.
     """
@@ -71,42 +71,42 @@
 
 
 class TargetPort(Protocol):
-    """What radishfield asks of a target; one implementation a protocol."""
+    """Operations on a target, with one implementation for each protocol."""
 
     def open_stream(
         self, target: Target, start: StreamStart
     ) -> AbstractAsyncContextManager[Result[TokenStream, Fault]]:
         """Start an attempt at the route's first stage.
 
-        A fault with outcome ``NOT_RUN`` proves that no byte was handed to the
+        A fault with outcome ``NOT_RUN`` proves that no byte was sent to the
         target or that it refused before it started.
         """
 
     def reopen_stream(
         self, target: Target, request_id: str, attempt: int, position: int
     ) -> AbstractAsyncContextManager[Result[TokenStream, Fault]]:
-        """Attach again, on a new connection, to an attempt that still runs.
+        """Reattach, on a new connection, to an attempt that is still running.
 
         Nothing is started: the first stage sends the attempt's tokens from
         ``position`` on, or refuses with ``TARGET_REFUSED`` if it has no such
-        attempt.  It answers connections that went silent, and it is safe for
-        requests that may not run twice.  A target that neither answers nor
+        attempt.  This recovers from connections that went silent, and is safe
+        for requests that must not run twice.  A target that neither answers nor
         refuses in time is ``STREAM_SILENT``: the attempt may still run.
         """
 
     async def cancel(
         self, target: Target, request_id: str, attempt: int
     ) -> Result[None, Fault]:
-        """Ask a target to forget a request's attempts up to this one.
+        """Ask a target to drop a request's attempts up to this one.
 
         A cancel may arrive late; without the attempt's number it would end a
-        newer attempt that has come back to the same target.
+        newer attempt that has returned to the same target.
         """
 
     async def call(
         self, target: Target, request: ServiceRequest
     ) -> Result[ServiceAnswer, Fault]:
-        """Call a plain service and return its whole answer."""
+        """Call a plain service and return its complete answer."""
 
     async def load(self, target: Target) -> Result[LoadReport, Fault]:
         """Return the target's load report."""
@@ -114,10 +114,10 @@
     async def cache_events(
         self, target: Target, after: int
     ) -> Result[Sequence[CacheEvent], Fault]:
-        """Return cache events with a sequence above ``after``; gaps happen."""
+        """Return cache events with a sequence above ``after``; gaps are possible."""
 
     async def order(self, target: Target, order: TargetOrder) -> Result[None, Fault]:
-        """Give an order; a fenced order is refused with ``ORDER_FENCED``."""
+        """Send an order; one with an old fencing number gets ``ORDER_FENCED``."""
 
     async def export_kv(
         self, target: Target, request_id: str
@@ -125,12 +125,12 @@
         """Read a request's KV cache from a target that is still alive."""
 
     async def import_kv(self, target: Target, state: KvState) -> Result[None, Fault]:
-        """Hand a request's KV cache to a target before an attempt starts."""
+        """Transfer a request's KV cache to a target before an attempt starts."""
 
 
 @dataclass(slots=True, frozen=True)
 class StoredObject:
-    """An object of the platform's API; ``version`` 0 stands for absent."""
+    """An object of the platform's API; ``version`` 0 means absent."""
 
     kind: str
     name: str
@@ -148,7 +148,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchBatch:
-    """Changes after a revision; empty after a quiet wait."""
+    """Changes after a revision; empty if none came within the timeout."""
 
     revision: int
     objects: tuple[StoredObject, ...]
@@ -156,7 +156,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HostListing:
-    """The platform's lagging list of live and leaving hosts."""
+    """The platform's list of live and leaving hosts, which may be out of date."""
 
     hosts: tuple[Host, ...]
 
@@ -173,7 +173,8 @@
         """Write if the stored version is the expected one (0: must be absent).
 
         ``PLATFORM_CONFLICT``: another write won, nothing changed.
-        ``PLATFORM_AMBIGUOUS``: the answer was lost; read back to settle it.
+        ``PLATFORM_AMBIGUOUS``: the answer was lost; read the object back to see
+        whether the write took effect.
         """
 
     async def list(self, kind: str) -> Result[StoredListing, Fault]:
@@ -189,38 +190,38 @@
 
 
 class ProfileSource(Protocol):
-    """Where the caller edge looks profiles up."""
+    """Source from which the caller edge reads profiles."""
 
     def find(self, name: str) -> Result[Profile, Fault]:
-        """Return the profile in force, or why there is none."""
+        """Return the active profile, or why there is none."""
 
     def names(self) -> Sequence[str]:
-        """Return the names of the profiles in force."""
+        """Return the names of the active profiles."""
 
 
 class Serving(Protocol):
-    """What the caller edge asks for: the way of a request through the system."""
+    """Runs the requests that the caller edge accepts."""
 
     async def generate(
         self, request: Request, sink: TokenSink
     ) -> Result[Finished, Fault]:
         """Run a model request; committed tokens go to the sink in order.
 
-        A fault's ``outcome`` is what the caller may be told.  Cancelling the
+        A fault's ``outcome`` is what may be reported to the caller.  Cancelling the
         call cancels the request's work at its targets.
         """
 
     async def call_service(
         self, request: ServiceRequest
     ) -> Result[ServiceAnswer, Fault]:
-        """Run a plain call."""
+        """Call a plain service and return its answer."""
 
 
 PeerHandler = Callable[[str, bytes], Awaitable[Result[bytes, Fault]]]
 
 
 class PeerPort(Protocol):
-    """Messages between entry hosts; payloads are Cap'n Proto, one schema a topic."""
+    """Messages between entry hosts; payloads are Cap'n Proto, one schema per topic."""
 
     def members(self) -> Sequence[Member]:
         """Return every known entry host, this one included, with its state."""
@@ -228,14 +229,14 @@
     async def ask(
         self, member_id: str, topic: str, payload: bytes, timeout_s: float
     ) -> Result[bytes, Fault]:
-        """Send one question and return its answer, or ``PEER_UNREACHABLE``.
+        """Send one request and return its answer, or ``PEER_UNREACHABLE``.
 
-        After ``PEER_UNREACHABLE`` the question may or may not have been
-        handled; a handler has to bear being asked twice.
+        After ``PEER_UNREACHABLE`` the request may or may not have been handled;
+        a handler must tolerate receiving it twice.
         """
 
     def answer(self, topic: str, handler: PeerHandler) -> None:
-        """Register the coroutine that answers a topic's questions.
+        """Register the coroutine that answers a topic's requests.
 
-        It gets the asking member's id and the payload.
+        It receives the requesting member's id and the payload.
         """
