--- a/radishfield/settings/__init__.py
+++ b/radishfield/settings/__init__.py
@@ -1,7 +1,7 @@
-"""Settings: an INI file checked whole, read into typed data classes by section.
+"""Reads an INI settings file into a typed data class for each section.
 
-Every fault is one line that names file, section, key and what is allowed; all
-of a file's faults come back together, as values.
+Every fault is one line that names the file, section, key and what is allowed.
+All faults of a file are returned together, as values.
 """
 
 from radishfield.core import loaded_on_use
--- a/radishfield/settings/_lists.py
+++ b/radishfield/settings/_lists.py
@@ -1,4 +1,4 @@
-"""The sections whose keys are names: [targets], [profiles] and [links]."""
+"""Reads the sections with one line per object: [targets], [profiles], [links]."""
 
 from dataclasses import dataclass
 from typing import Annotated
@@ -21,7 +21,7 @@
 from radishfield.settings._sections import DURATION, Name
 from radishfield.settings._units import parse_address, parse_duration
 
-TARGET_WORDS = (
+TARGET_FIELDS = (
     "address",
     "zone",
     "model",
@@ -32,17 +32,17 @@
     "slots",
     "kind",
 )
-TARGET_WORDS_NEEDED = 3
+MIN_TARGET_FIELDS = 3
 TARGET_ALLOWED = (
     "ADDRESS ZONE MODEL [FIRST END MODEL_LAYERS [SPEED [SLOTS [KIND]]]], "
-    "KIND engine or service; an engine needs its layers"
+    "KIND is engine or service; an engine needs FIRST, END and MODEL_LAYERS"
 )
 PROFILE_ALLOWED = (
     "MODEL [kind=engine|service] [priority=urgent|high|normal|low] "
     "[deadline=DURATION] [idempotent=yes|no]"
 )
 LINK_ALLOWED = (
-    "FROM>TO = LATENCY TOKENS_PER_S, such as a>b = 0.5ms 20000, 10s at the most"
+    "FROM>TO = LATENCY TOKENS_PER_S, such as a>b = 0.5ms 20000, latency at most 10s"
 )
 LINK_SEPARATOR = ">"
 PRIORITY_BY_WORD = {member.name.lower(): member for member in Priority}
@@ -83,19 +83,19 @@
 def read_target(name: str, text: str) -> Result[Target, Fault]:
     """Read one line of [targets]."""
     words = text.split()
-    if not TARGET_WORDS_NEEDED <= len(words) <= len(TARGET_WORDS):
-        return _refused(text, TARGET_ALLOWED)
+    if not MIN_TARGET_FIELDS <= len(words) <= len(TARGET_FIELDS):
+        return _reject(text, TARGET_ALLOWED)
     try:
         parse_address(words[0])
-        value_by_word = dict(zip(TARGET_WORDS, words, strict=False))
-        line = msgspec.convert(value_by_word, _TargetLine, strict=False)
+        value_by_field = dict(zip(TARGET_FIELDS, words, strict=False))
+        line = msgspec.convert(value_by_field, _TargetLine, strict=False)
         msgspec.convert(name, Name)
     except (ValueError, msgspec.ValidationError):
-        return _refused(text, TARGET_ALLOWED)
+        return _reject(text, TARGET_ALLOWED)
     if line.kind is TargetKind.ENGINE and not line.first < line.end <= (
         line.model_layers
     ):
-        return _refused(text, TARGET_ALLOWED)
+        return _reject(text, TARGET_ALLOWED)
     return Ok(
         Target(
             id=name,
@@ -115,15 +115,15 @@
 def read_profile(name: str, text: str) -> Result[Profile, Fault]:
     """Read one line of [profiles]."""
     model, *pairs = text.split() or [""]
-    value_by_word: dict[str, object] = {"model": model}
+    value_by_field: dict[str, object] = {"model": model}
     try:
         for pair in pairs:
-            word, _, value = pair.partition("=")
-            value_by_word[word] = _profile_value(word, value)
-        line = msgspec.convert(value_by_word, _ProfileLine, strict=False)
+            option, _, value = pair.partition("=")
+            value_by_field[option] = _profile_value(option, value)
+        line = msgspec.convert(value_by_field, _ProfileLine, strict=False)
         msgspec.convert(name, Name)
     except (ValueError, KeyError, msgspec.ValidationError):
-        return _refused(text, PROFILE_ALLOWED)
+        return _reject(text, PROFILE_ALLOWED)
     return Ok(
         Profile(
             name,
@@ -142,22 +142,22 @@
     words = text.split()
     from_zone, separator, to_zone = name.partition(LINK_SEPARATOR)
     if not separator or len(words) != len(("latency", "tokens_per_s")):
-        return _refused(text, LINK_ALLOWED)
+        return _reject(text, LINK_ALLOWED)
     try:
-        value_by_word = {
+        value_by_field = {
             "from_zone": from_zone.strip(),
             "to_zone": to_zone.strip(),
             "latency": parse_duration(words[0]),
             "tokens_per_s": words[1],
         }
-        line = msgspec.convert(value_by_word, _LinkLine, strict=False)
+        line = msgspec.convert(value_by_field, _LinkLine, strict=False)
     except (ValueError, msgspec.ValidationError):
-        return _refused(text, LINK_ALLOWED)
+        return _reject(text, LINK_ALLOWED)
     return Ok(Link(line.from_zone, line.to_zone, line.latency, line.tokens_per_s))
 
 
-def _profile_value(word: str, text: str) -> object:
-    match word:
+def _profile_value(option: str, text: str) -> object:
+    match option:
         case "kind":
             return text
         case "priority":
@@ -166,10 +166,10 @@
             return parse_duration(text)
         case "idempotent":
             return BOOLEAN_BY_WORD[text]
-    raise KeyError(word)
+    raise KeyError(option)
 
 
-def _refused(text: str, allowed: str) -> Result:
+def _reject(text: str, allowed: str) -> Result:
     detail = f"{text[:60]!r} is not allowed; allowed: {allowed}"
     return Error(fault(ResultCode.SETTING_TYPE, detail))
 
--- a/radishfield/settings/_printer.py
+++ b/radishfield/settings/_printer.py
@@ -1,4 +1,4 @@
-"""Prints settings as a file, with every default and what each key may be."""
+"""Prints settings as a file, with every default and the values allowed for a key."""
 
 from radishfield.core import Link, Profile, Target
 from radishfield.settings._fields import section_fields
@@ -20,7 +20,7 @@
 
 
 def settings_table(settings: EntrySettings) -> str:
-    """Return a Markdown table of every key with its default and what it may be."""
+    """Return a Markdown table of every key with its default and allowed values."""
     lines = ["| section | key | default | allowed |", "| --- " * 4 + "|"]
     sections = {name: getattr(settings, name) for name in SECTION_TYPE_BY_NAME}
     for name, section in (sections | dict(settings.extra_by_section)).items():
@@ -41,9 +41,9 @@
 
 def _target_line(target: Target) -> str:
     layers = f"{target.layers.first} {target.layers.end} {target.model_layers}"
-    load = f"{target.speed_tps:g} {target.slots} {target.kind}"
-    place = f"{target.address} {target.zone} {target.model}"
-    return f"{target.id} = {place} {layers} {load}"
+    capacity = f"{target.speed_tps:g} {target.slots} {target.kind}"
+    location = f"{target.address} {target.zone} {target.model}"
+    return f"{target.id} = {location} {layers} {capacity}"
 
 
 def _profile_line(profile: Profile) -> str:
--- a/radishfield/settings/_reader.py
+++ b/radishfield/settings/_reader.py
@@ -1,4 +1,4 @@
-"""Reads a settings file: parse, check every key, check what keys mean together."""
+"""Reads a settings file and checks each key and the combinations of keys."""
 
 import configparser
 from collections.abc import Mapping
@@ -57,7 +57,7 @@
     Attributes
     ----------
     extra_by_section : mapping
-        Sections whose data class another package registered in `from_file`.
+        Sections of other packages, whose data classes are passed to `from_file`.
     """
 
     host: HostSettings = HostSettings()
@@ -89,16 +89,16 @@
             Data classes of further sections, by section name.  A field may use
             ``Annotated[float, msgspec.Meta(ge=..., le=...)]`` for its limits.
         """
-        return _Reading(path, dict(extra_types or {})).settings()
+        return _SettingsReader(path, dict(extra_types or {})).settings()
 
     def section(self, name: str, kind: type[T]) -> T:
-        """Return a registered section; its defaults where the file has none."""
+        """Return a registered section, or its defaults if the file has none."""
         value = self.extra_by_section.get(name)
         return value if isinstance(value, kind) else kind()
 
 
-class _Reading:
-    """One reading of one file; faults gather in ``faults``."""
+class _SettingsReader:
+    """Reads one file and collects its faults in ``faults``."""
 
     __slots__ = ("path", "faults", "_extra_types")
 
@@ -113,21 +113,23 @@
             return Error(self.faults)
         self._check_section_names(parser)
         value_by_section = {
-            name: self._section(parser, name, kind)
+            name: self._read_section(parser, name, kind)
             for name, kind in SECTION_TYPE_BY_NAME.items()
         }
         extra_by_section = {
-            name: self._section(parser, name, kind)
+            name: self._read_section(parser, name, kind)
             for name, kind in self._extra_types.items()
         }
-        lines_by_section = {name: self._lines(parser, name) for name in LINE_SECTIONS}
+        lines_by_section = {
+            name: self._read_lines(parser, name) for name in LINE_SECTIONS
+        }
         settings = EntrySettings(
             **value_by_section, **lines_by_section, extra_by_section=extra_by_section
         )
         if not self.faults:
-            self._check_together(settings)
+            self._check_combinations(settings)
         if not self.faults:
-            settings = self._with_token_from_file(settings)
+            settings = self._load_operator_token(settings)
         return Error(self.faults) if self.faults else Ok(settings)
 
     def _parse(self) -> configparser.ConfigParser | None:
@@ -138,13 +140,13 @@
             text = Path(self.path).read_text(encoding="utf-8")
             parser.read_string(text, source=self.path)
         except OSError as error:
-            reason = f"{error.strerror}; allowed: a file that can be read"
-            self._add("-", "-", fault(ResultCode.SETTING_FILE_MISSING, reason))
+            reason = f"{error.strerror}; allowed: a readable file"
+            self._add_fault("-", "-", fault(ResultCode.SETTING_FILE_MISSING, reason))
             return None
         except (configparser.Error, UnicodeDecodeError, ValueError) as error:
             reason = " ".join(str(error).split())
-            detail = f"{reason}; allowed: INI, each section and key once, in UTF-8"
-            self._add("-", "-", fault(ResultCode.SETTING_TYPE, detail))
+            detail = f"{reason}; allowed: INI in UTF-8, each section and key once"
+            self._add_fault("-", "-", fault(ResultCode.SETTING_TYPE, detail))
             return None
         return parser
 
@@ -153,9 +155,9 @@
         for name in parser.sections():
             if name not in known:
                 detail = f"unknown section; allowed: {', '.join(known)}"
-                self._add(name, "-", fault(ResultCode.SETTING_UNKNOWN, detail))
+                self._add_fault(name, "-", fault(ResultCode.SETTING_UNKNOWN, detail))
 
-    def _section(
+    def _read_section(
         self, parser: configparser.ConfigParser, name: str, kind: type[T]
     ) -> T:
         field_by_key = {item.key: item for item in section_fields(kind)}
@@ -164,19 +166,19 @@
             item = field_by_key.get(key)
             if item is None:
                 detail = f"unknown key; allowed: {', '.join(field_by_key)}"
-                self._add(name, key, fault(ResultCode.SETTING_UNKNOWN, detail))
+                self._add_fault(name, key, fault(ResultCode.SETTING_UNKNOWN, detail))
                 continue
             match item.read(text):
                 case Result(tag="ok", ok=value):
                     value_by_name[item.name] = value
                 case Result(tag="error", error=problem):
-                    self._add(name, key, problem)
+                    self._add_fault(name, key, problem)
         return kind(**value_by_name)
 
-    def _lines(self, parser: configparser.ConfigParser, name: str) -> tuple:
+    def _read_lines(self, parser: configparser.ConfigParser, name: str) -> tuple:
         if name not in parser:
             return ()
-        # A router has no such section, and is started without what reads them.
+        # A router has none of these sections and does not import their reader.
         from radishfield.settings._lists import LINE_READER_BY_SECTION
 
         values = []
@@ -185,40 +187,44 @@
                 case Result(tag="ok", ok=value):
                     values.append(value)
                 case Result(tag="error", error=problem):
-                    self._add(name, key, problem)
+                    self._add_fault(name, key, problem)
         return tuple(values)
 
-    def _check_together(self, settings: EntrySettings) -> None:
+    def _check_combinations(self, settings: EntrySettings) -> None:
         for name in ("caller", "operator"):
             section = getattr(settings, name)
             if bool(section.tls_cert) != bool(section.tls_key):
                 key = "tls_key" if section.tls_cert else "tls_cert"
-                self._missing(name, key, "tls_cert and tls_key both, or neither")
+                self._add_missing_fault(
+                    name, key, "both tls_cert and tls_key, or neither"
+                )
         operator, peers = settings.operator, settings.peers
         if not settings.caller.bind:
-            self._missing("caller", "bind", "an IP number with a port")
+            self._add_missing_fault("caller", "bind", "an IP address with a port")
         if operator.token and operator.token_file:
-            detail = "token is set too; allowed: token or token_file, not both"
+            detail = "token is also set; allowed: token or token_file, not both"
             problem = fault(ResultCode.SETTING_TYPE, detail)
-            self._add("operator", "token_file", problem)
+            self._add_fault("operator", "token_file", problem)
         if operator.bind and not (operator.token or operator.token_file):
-            self._missing("operator", "token", "token or token_file where bind is set")
+            self._add_missing_fault(
+                "operator", "token", "token or token_file when bind is set"
+            )
         if peers.bind and peers.active_key not in {key.id for key in peers.keys}:
-            self._missing("peers", "active_key", "the id of one of keys")
+            self._add_missing_fault("peers", "active_key", "the id of one of the keys")
         if settings.leases.renew_s * 2 > settings.leases.duration_s:
-            # A renewal that is lost once must not cost the lease.
+            # The lease must survive one lost renewal.
             detail = "too long; allowed: at most half of duration"
-            self._add("leases", "renew", fault(ResultCode.SETTING_RANGE, detail))
+            self._add_fault("leases", "renew", fault(ResultCode.SETTING_RANGE, detail))
         if (
             settings.metrics.export is MetricsExport.SCRAPE
             and settings.metrics.bind
             and settings.metrics.bind in (settings.caller.bind, operator.bind)
         ):
-            detail = "another listener has it; allowed: blank, or an address of its own"
+            detail = "used by another listener; allowed: blank, or a separate address"
             problem = fault(ResultCode.SETTING_RANGE, detail)
-            self._add("metrics", "bind", problem)
+            self._add_fault("metrics", "bind", problem)
 
-    def _with_token_from_file(self, settings: EntrySettings) -> EntrySettings:
+    def _load_operator_token(self, settings: EntrySettings) -> EntrySettings:
         operator, key = settings.operator, "token"
         if operator.token_file:
             key = "token_file"
@@ -229,14 +235,14 @@
             operator = replace(operator, token=token)
         if operator.bind and len(operator.token) < MIN_TOKEN_LENGTH:
             detail = f"too short; allowed: {MIN_TOKEN_LENGTH} characters or more"
-            self._add("operator", key, fault(ResultCode.SETTING_RANGE, detail))
+            self._add_fault("operator", key, fault(ResultCode.SETTING_RANGE, detail))
         return replace(settings, operator=operator)
 
-    def _missing(self, section: str, key: str, allowed: str) -> None:
+    def _add_missing_fault(self, section: str, key: str, allowed: str) -> None:
         detail = f"not set; allowed: {allowed}"
-        self._add(section, key, fault(ResultCode.SETTING_MISSING, detail))
+        self._add_fault(section, key, fault(ResultCode.SETTING_MISSING, detail))
 
-    def _add(self, section: str, key: str, problem: Fault) -> None:
+    def _add_fault(self, section: str, key: str, problem: Fault) -> None:
         detail = f"{self.path}: [{section}] {key}: {problem.detail}"
-        # One fault is one line, whatever the file's text holds.
+        # A fault stays on one line even if the file's text has line breaks.
         self.faults.append(fault(problem.code, " ".join(detail.split())))
--- a/radishfield/settings/_router.py
+++ b/radishfield/settings/_router.py
@@ -1,4 +1,4 @@
-"""The settings of a router on the users' platform: further sections of the file."""
+"""Defines the settings sections of a router on the users' platform."""
 
 from dataclasses import dataclass
 from typing import Annotated
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReadinessSettings:
-    """[readiness]: the address at which the balancer asks."""
+    """[readiness]: the address for the load balancer's readiness checks."""
 
     bind: Address = ""
 
@@ -27,17 +27,17 @@
 
 @dataclass(slots=True, frozen=True)
 class PromisesSettings:
-    """[promises]: the bounds that operators set.
+    """[promises]: the limits that operators set.
 
     Attributes
     ----------
     revoke_s : float
-        Time after which a key that was taken away runs nowhere.
+        Time after which no router runs requests with a revoked key.
     grace_s : float
-        Time between the signal to leave and the end of the process.
+        Time between the shutdown signal and the end of the process.
     retry_ratio, retry_window_s, retry_slack : float
-        Repeats that all routers together may send a service in a window, for
-        each first try and beside.
+        Retries that all routers together may send to a service in a window:
+        ``retry_ratio`` for each first attempt, plus ``retry_slack``.
     """
 
     revoke_s: ShortTime = 5.0
--- a/radishfield/settings/_sections.py
+++ b/radishfield/settings/_sections.py
@@ -1,6 +1,6 @@
-"""The sections of a settings file, as data classes with their limits.
+"""Defines the sections of a settings file as data classes with their limits.
 
-A field's ``Meta`` holds its limits and, under ``unit``, how its text is read.
+A field's ``Meta`` holds its limits and, under ``unit``, how its text is parsed.
 The key in the file is the field's name without its unit: ``body_timeout_s`` is
 written ``body_timeout = 10s``.
 """
@@ -34,7 +34,7 @@
 
 
 class LogLevel(enum.StrEnum):
-    """The least urgent level that is written."""
+    """The lowest level that is logged."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -43,7 +43,7 @@
 
 
 class LogStream(enum.StrEnum):
-    """Where log lines go: hosts have no disks, so there are no log files."""
+    """Destination of log lines; hosts have no disks, so there are no log files."""
 
     STDERR = "stderr"
     STDOUT = "stdout"
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HostSettings:
-    """[host]: which entry host this is, and where it stands."""
+    """[host]: the id and availability zone of this entry host."""
 
     id: Name = "host-1"
     zone: Name = "a"
@@ -72,7 +72,7 @@
     Attributes
     ----------
     max_in_flight : int
-        Requests served at a time, those that wait for a target included.
+        Requests served at a time, including those that wait for a target.
     """
 
     bind: Address = "127.0.0.1:8080"
@@ -101,13 +101,13 @@
     Attributes
     ----------
     max_calls_per_s : float
-        This host's budget; the platform counts each call, a watch as one.
+        This host's call budget; the platform counts each call, a watch as one.
     watch_s : float
-        Longest wait of one watch.
+        Maximum wait of one watch.
     list_period_s : float
-        Time between whole listings, which make up for skipped events.
+        Time between complete listings, which recover skipped events.
     hosts_period_s : float
-        Time between readings of the list of live and leaving hosts.
+        Time between reads of the list of live and leaving hosts.
     """
 
     address: Address = ""
@@ -130,12 +130,12 @@
 
 @dataclass(slots=True, frozen=True)
 class ClaimsSettings:
-    """[claims]: idempotency claims, and how long answers are kept for repeats.
+    """[claims]: idempotency claims, and how long answers are kept for retries.
 
     Attributes
     ----------
     keep_s : float
-        How long a key is remembered, from its claim on.
+        Time for which a key is kept, counted from its claim.
     max_calls_per_s : float
         This host's budget of calls to the platform for claims alone.
     """
@@ -148,12 +148,12 @@
 
 @dataclass(slots=True, frozen=True)
 class LeasesSettings:
-    """[leases]: one holder a duty and zone, in the platform's service.
+    """[leases]: one holder per duty and zone, in the platform's object API.
 
     Attributes
     ----------
     longest_order_s : float
-        A new holder waits this long for targets that ignore fencing numbers.
+        Time that a new holder waits for targets that ignore fencing numbers.
     """
 
     duration_s: ShortTime = 12.0
@@ -168,7 +168,7 @@
     Attributes
     ----------
     load_interval_s : float
-        Least time between two orders that load weights from the limited store.
+        Minimum time between orders that load weights from the rate-limited store.
     load_s : float
         Time that a load of weights is expected to take.
     """
@@ -180,14 +180,14 @@
 
 @dataclass(slots=True, frozen=True)
 class PlacementSection:
-    """[placement]: plans of which target holds which layers, by the lease holder.
+    """[placement]: the lease holder's assignment of layers to targets.
 
     Attributes
     ----------
     enabled : bool
-        Off means that layers move by the operators' hand only.
+        If off, layers are moved only by operators.
     layers_per_s : float
-        Rate of one load from the store of weights.
+        Rate of one load from the weight store.
     """
 
     enabled: bool = True
@@ -198,7 +198,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LogSettings:
-    """[log]: JSON lines, one event each."""
+    """[log]: JSON lines with one event each."""
 
     level: LogLevel = LogLevel.INFO
     destination: LogStream = LogStream.STDERR
@@ -219,10 +219,10 @@
     Attributes
     ----------
     notice_s : float
-        Time in which new requests are still taken after readiness fails, so
-        that the balancer can notice.
+        Time for which new requests are still accepted after readiness fails,
+        so that the load balancer can detect it.
     timeout_s : float
-        Time after which requests still in flight are given up.
+        Time after which requests still in flight are abandoned.
     """
 
     notice_s: LongTime = 3.0
--- a/radishfield/settings/_units.py
+++ b/radishfield/settings/_units.py
@@ -1,4 +1,4 @@
-"""Values with units: durations, sizes, addresses and keys, read and printed."""
+"""Parses and formats durations, sizes, addresses and keys."""
 
 import ipaddress
 import re
@@ -7,7 +7,7 @@
 DURATION_SECONDS_BY_UNIT = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0}
 SIZE_BYTES_BY_UNIT = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20}
 MAX_PORT = 65535
-# 128 bits are the least that a key for authentication may have.
+# An authentication key needs at least 128 bits.
 MIN_KEY_BYTES = 16
 
 _QUANTITY = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,6})?)([A-Za-z]+)", re.ASCII)
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerKey:
-    """A named key of the peer protocol; two at a time allow for rotation."""
+    """A named key of the peer protocol; two may be set at a time, for rotation."""
 
     id: str
     secret: bytes = field(repr=False)
@@ -35,30 +35,30 @@
 def parse_address(text: str) -> str:
     """Return ``ip:port`` unchanged, or blank; raise ValueError on a host name.
 
-    Names are refused because processes talk by IP numbers: a name would bring
-    a resolver, and its outages, into every connection.
+    Host names are refused because processes connect by IP address: a name would
+    make every connection depend on a resolver and its outages.
     """
     if not text:
         return text
     ip, _, port = text.rpartition(":")
     ipaddress.ip_address(ip.removeprefix("[").removesuffix("]"))
     if not re.fullmatch("[0-9]{1,5}", port) or int(port) > MAX_PORT:
-        raise ValueError(f"{port!r} is no port")
+        raise ValueError(f"{port!r} is not a port number")
     return text
 
 
 def parse_addresses(text: str) -> tuple[str, ...]:
-    """Return the addresses of a list with commas or blanks between."""
+    """Return the addresses of a list separated by commas or blanks."""
     return tuple(parse_address(item) for item in text.replace(",", " ").split())
 
 
 def parse_keys(text: str) -> tuple[PeerKey, ...]:
-    """Return the keys of a list of ``id:hex``; raise ValueError on a short one."""
+    """Return the keys of a list of ``id:hex``; raise ValueError on a short key."""
     keys = []
     for item in text.replace(",", " ").split():
         match = _KEY.fullmatch(item)
         if match is None or len(match[2]) < 2 * MIN_KEY_BYTES:
-            raise ValueError("not a key")
+            raise ValueError("not a key of the form id:hex, or too short")
         keys.append(PeerKey(match[1], bytes.fromhex(match[2])))
     return tuple(keys)
 
