--- a/radishfield/platform/__init__.py
+++ b/radishfield/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The users' platform: its names, formats and calls; nothing is decided here."""
+"""Names, formats and calls of the users' platform; no routing is decided here."""
 
 from radishfield.platform._config import decode_config
 from radishfield.platform._requests import (
@@ -32,7 +32,7 @@
 CONFIG_KIND = "config"
 CONFIG_NAME = "main"
 TARGETS_KIND = "servers"
-"""The store's name for what the project calls targets."""
+"""The store's kind for the objects that this project calls targets."""
 READY_PATH = "/readyz"
 
 __all__ = [
--- a/radishfield/platform/_requests.py
+++ b/radishfield/platform/_requests.py
@@ -1,4 +1,4 @@
-"""Headers of requests and answers, read and written for the router."""
+"""Reads and writes the headers of requests and answers."""
 
 import math
 from collections.abc import Iterable
@@ -6,13 +6,13 @@
 import msgspec
 
 from radishfield.platform import _names as names
-from radishfield.platform._targets import path_text
+from radishfield.platform._targets import format_path
 from radishfield.routing import Path
 
 Headers = list[tuple[bytes, bytes]]
 
-# Concern one connection only and are never passed on.
-_HOP_HEADERS = frozenset(
+# Hop-by-hop headers apply to one connection only and are never forwarded.
+_HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -23,9 +23,9 @@
         b"upgrade",
     }
 )
-_NOT_FOR_CALLERS = _HOP_HEADERS | {b"content-length"}
-# Set by the router itself, whatever the caller sent; a key never reaches a target.
-_REPLACED = frozenset(
+_DROPPED_FROM_ANSWERS = _HOP_BY_HOP_HEADERS | {b"content-length"}
+# Set or dropped by the router, whatever the caller sent; a key never reaches a target.
+_REPLACED_HEADERS = frozenset(
     {
         names.DEADLINE_MS,
         names.EXPECTED_TARGET,
@@ -43,16 +43,16 @@
 
 
 class RequestFacts(msgspec.Struct, frozen=True):
-    """What a caller's headers say.
+    """Values read from a caller's request headers.
 
     Attributes
     ----------
     deadline_s : float or None
-        Seconds that the caller waits, from its own sending on.
+        Seconds that the caller waits, counted from when it sent the request.
     last_event_id : bytes
-        Where a stream is to go on; empty for a stream from its start.
+        Event after which a stream resumes; empty for a stream from its start.
     prompt_tokens, most_answer_tokens, likely_answer_tokens : int
-        Zero where the caller does not say.
+        Zero if the caller does not state the number.
     """
 
     host: str
@@ -66,7 +66,7 @@
 
 
 class SendFacts(msgspec.Struct, frozen=True):
-    """What the router tells a target beside the caller's own headers."""
+    """Values that the router sends to a target in addition to the caller's headers."""
 
     target_id: str
     remaining_s: float
@@ -77,20 +77,20 @@
 
 
 class AnswerFacts(msgspec.Struct, frozen=True):
-    """What a target's status and headers say.
+    """Values read from the status and headers of a target's answer.
 
     Attributes
     ----------
     not_run : bool
-        The target says that it did not run the request and never will.
+        The target states that it did not run the request and never will.
     faulty_address : str
-        The part of the path that failed, where the target names it.
+        Address of the path's stage that failed, if the target names it.
     idle_s : float or None
         Seconds after which the target closes an idle connection.
     encoded : bool
-        The body is not the target's own bytes.
+        The body has a content encoding, so its bytes are not the target's own.
     framed : bool
-        The body's end is told by a length or a last chunk, not by the connection's.
+        A length or a last chunk marks the body's end, not the end of the connection.
     """
 
     status: int
@@ -104,10 +104,10 @@
 
 
 def read_request(headers: Iterable[tuple[bytes, bytes]]) -> RequestFacts:
-    """Return what the router needs of a caller's headers."""
+    """Return the values that the router reads from a caller's headers."""
     by_name = dict(headers)
     counts = by_name.get(names.TOKEN_COUNTS, b"").split(b",")
-    deadline_ms = _number(by_name.get(names.DEADLINE_MS, b""))
+    deadline_ms = _parse_deadline_ms(by_name.get(names.DEADLINE_MS, b""))
     key = by_name.get(names.AUTHORIZATION, b"").decode("latin-1")
     return RequestFacts(
         host=by_name.get(b"host", b"").decode("latin-1"),
@@ -115,9 +115,9 @@
         key=key[len(names.KEY_SCHEME) :] if key.startswith(names.KEY_SCHEME) else "",
         deadline_s=None if deadline_ms is None else deadline_ms / 1000,
         last_event_id=by_name.get(names.LAST_EVENT_ID, b""),
-        prompt_tokens=_count(counts[0]),
-        most_answer_tokens=_count(counts[1]) if len(counts) > 1 else 0,
-        likely_answer_tokens=_count(by_name.get(names.LENGTH_HINT, b"")),
+        prompt_tokens=_parse_count(counts[0]),
+        most_answer_tokens=_parse_count(counts[1]) if len(counts) > 1 else 0,
+        likely_answer_tokens=_parse_count(by_name.get(names.LENGTH_HINT, b"")),
     )
 
 
@@ -125,12 +125,14 @@
     caller: Iterable[tuple[bytes, bytes]], facts: SendFacts, body_bytes: int
 ) -> Headers:
     """Return the headers of a request to a target."""
-    own = list(caller)
-    named = _connection_names(own)
+    received = list(caller)
+    listed = _connection_header_names(received)
     headers = [
         (name, value)
-        for name, value in own
-        if name not in _HOP_HEADERS and name not in _REPLACED and name not in named
+        for name, value in received
+        if name not in _HOP_BY_HOP_HEADERS
+        and name not in _REPLACED_HEADERS
+        and name not in listed
     ]
     remaining_ms = max(1, int(facts.remaining_s * 1000))
     headers.append((names.DEADLINE_MS, str(remaining_ms).encode()))
@@ -138,12 +140,12 @@
     if facts.workspace is not None:
         headers.append((names.WORKSPACE, facts.workspace.encode()))
     if facts.path:
-        headers.append((names.PATH, path_text(facts.path).encode()))
+        headers.append((names.PATH, format_path(facts.path).encode()))
     if facts.last_event_id:
         headers.append((names.LAST_EVENT_ID, facts.last_event_id))
     if facts.priority is not None:
         headers.append((names.PRIORITY, str(facts.priority).encode()))
-    if body_bytes or any(name == b"content-length" for name, _ in own):
+    if body_bytes or any(name == b"content-length" for name, _ in received):
         headers.append((b"content-length", str(body_bytes).encode()))
     return headers
 
@@ -157,36 +159,36 @@
 
 
 def read_answer(status: int, headers: Headers) -> AnswerFacts:
-    """Return what the router needs of a target's answer."""
+    """Return the values that the router reads from a target's answer."""
     by_name = {name.lower(): value for name, value in headers}
     connection = by_name.get(b"connection", b"").lower()
     return AnswerFacts(
         status=status,
         request_id=by_name.get(names.REQUEST_ID, b"").decode("latin-1"),
         not_run=names.NOT_RUN in by_name or status == 421,
-        faulty_address=by_name.get(names.FAULTY_PART, b"").decode("latin-1"),
+        faulty_address=by_name.get(names.FAULTY_STAGE, b"").decode("latin-1"),
         closes=b"close" in connection,
-        idle_s=_idle_s(by_name.get(b"keep-alive", b"")),
+        idle_s=_parse_idle_s(by_name.get(b"keep-alive", b"")),
         encoded=by_name.get(b"content-encoding", b"identity") != b"identity",
         framed=b"content-length" in by_name or b"transfer-encoding" in by_name,
     )
 
 
 def caller_headers(headers: Headers) -> Headers:
-    """Return a target's headers as the caller gets them.
+    """Return a target's headers in the form that the caller receives.
 
-    A body's length is set elsewhere, or the body is streamed in chunks; either way
-    the target's own length no longer applies.
+    The target's content length is dropped, because the body is either streamed in
+    chunks or gets its length elsewhere.
     """
     return [
         (name.lower(), value)
         for name, value in headers
-        if name.lower() not in _NOT_FOR_CALLERS
+        if name.lower() not in _DROPPED_FROM_ANSWERS
     ]
 
 
 def own_answer_headers(request_id: str, retry_after_s: float | None) -> Headers:
-    """Return the headers of an answer that the router gives itself."""
+    """Return the headers of an answer that the router generates itself."""
     headers = [(b"content-type", b"application/json")]
     if request_id:
         headers.append((names.REQUEST_ID, request_id.encode("latin-1")))
@@ -195,7 +197,7 @@
     return headers
 
 
-def _connection_names(headers: Headers) -> set[bytes]:
+def _connection_header_names(headers: Headers) -> set[bytes]:
     return {
         token.strip().lower()
         for name, value in headers
@@ -204,7 +206,7 @@
     }
 
 
-def _number(text: bytes) -> float | None:
+def _parse_deadline_ms(text: bytes) -> float | None:
     try:
         value = float(text)
     except ValueError:
@@ -212,12 +214,12 @@
     return min(value, MAX_DEADLINE_MS) if math.isfinite(value) and value >= 0 else None
 
 
-def _count(text: bytes) -> int:
+def _parse_count(text: bytes) -> int:
     digits = text.strip()
     return int(digits) if digits.isdigit() and len(digits) < 9 else 0
 
 
-def _idle_s(text: bytes) -> float | None:
+def _parse_idle_s(text: bytes) -> float | None:
     for part in text.split(b","):
         name, _, value = part.strip().partition(b"=")
         if name == b"timeout" and value.isdigit():
--- a/radishfield/platform/_store.py
+++ b/radishfield/platform/_store.py
@@ -1,4 +1,4 @@
-"""The platform's object store: its calls, paths and answers."""
+"""Client of the platform's object store: its calls, paths and answers."""
 
 from urllib.parse import quote
 
@@ -9,10 +9,11 @@
 from radishfield.web import ApiCall, ApiCaller, decode_answer
 
 CALL_TIMEOUT_S = 2.0
-"""The store answers in milliseconds; slower than this is a store in trouble."""
+"""The store answers in milliseconds; one that takes longer than this is failing."""
 WATCH_MARGIN_S = 1.0
-"""A watch whose answer is this late has lost its connection, which can fall silent
-without a sign; a store that is slow takes some hundred milliseconds."""
+"""Time by which a watch's answer may be late.  A later one means that the connection
+is lost, which can happen without an error; a slow store takes only some hundred
+milliseconds."""
 
 
 class _Metadata(msgspec.Struct, rename="camel"):
@@ -52,7 +53,7 @@
 
 
 class StoredValue(msgspec.Struct, frozen=True):
-    """One object; ``spec`` is what lies in it, or None where it can't be read."""
+    """One object; ``spec`` is its content, or None if that can't be read."""
 
     name: str
     revision: int
@@ -60,7 +61,7 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """One object that changed or, with ``deleted``, is gone."""
+    """One object that changed or, with ``deleted``, was removed."""
 
     value: StoredValue
     deleted: bool
@@ -74,14 +75,14 @@
 
 
 class Changes(msgspec.Struct, frozen=True):
-    """What changed up to a revision of the store; empty if nothing did."""
+    """Changes up to a revision of the store; empty if nothing changed."""
 
     changes: tuple[Change, ...]
     revision: int
 
 
 class ObjectStore:
-    """The store as this host reaches it; each call is sent once."""
+    """Client of the store; each call is sent once."""
 
     __slots__ = ("_caller",)
 
@@ -94,10 +95,10 @@
         return answer.bind(_decode_value)
 
     async def list(self, kind: str) -> Result[Listing, Fault]:
-        """Return all objects of a kind, page after page.
+        """Return all objects of a kind, read page by page.
 
-        The revision is that of the first page: a watch from there sees again
-        whatever changed while the later pages were read.
+        The revision is that of the first page, so that a watch from there returns
+        again whatever changed while the later pages were read.
         """
         values: list[StoredValue] = []
         revision: int | None = None
@@ -108,14 +109,15 @@
             page = answer.bind(_decode_page)
             if page.is_error():
                 return Error(page.error)
-            values += [_value(item) for item in page.ok.items]
+            values += [_read_value(item) for item in page.ok.items]
             revision = page.ok.current_rev if revision is None else revision
             if not page.ok.truncated:
                 return Ok(Listing(tuple(values), revision))
             names = [value.name for value in values if value.name]
             if not names or names[-1] == after:
-                # No name to go on from; half a list would drop the other half.
-                detail = f"no readable name after {after!r}"
+                # No name to continue after; a partial list would drop the other
+                # objects.
+                detail = f"page has no readable name after {after!r}"
                 return Error(fault(ResultCode.PLATFORM_MALFORMED, detail))
             after = names[-1]
 
@@ -167,10 +169,12 @@
 
 
 def _decode_value(body: bytes) -> Result[StoredValue, Fault]:
-    value = _value(body)
+    value = _read_value(body)
     if value.name:
         return Ok(value)
-    return Error(fault(ResultCode.PLATFORM_MALFORMED, "no object"))
+    return Error(
+        fault(ResultCode.PLATFORM_MALFORMED, "answer holds no readable object")
+    )
 
 
 def _decode_page(body: bytes) -> Result[_Page, Fault]:
@@ -180,14 +184,16 @@
 def _decode_changes(body: bytes) -> Result[Changes, Fault]:
     return decode_answer(body, _Events).map(
         lambda raw: Changes(
-            tuple(Change(_value(item.object), item.deleted) for item in raw.events),
+            tuple(
+                Change(_read_value(item.object), item.deleted) for item in raw.events
+            ),
             raw.current_rev,
         )
     )
 
 
-def _value(raw: bytes) -> StoredValue:
-    """Return an object; its spec is None where only its name can be read."""
+def _read_value(raw: bytes) -> StoredValue:
+    """Return an object; its spec is None if only its name can be read."""
     try:
         item = msgspec.json.decode(raw, type=_Object)
     except (msgspec.DecodeError, UnicodeDecodeError):
--- a/radishfield/platform/_targets.py
+++ b/radishfield/platform/_targets.py
@@ -1,4 +1,4 @@
-"""What targets say of themselves, and the orders that they take."""
+"""Decodes targets' entries and reports, and encodes the orders sent to them."""
 
 import msgspec
 from expression import Error, Ok, Result
@@ -21,7 +21,7 @@
 class _Layers(msgspec.Struct):
     first: int = msgspec.field(name="from")
     end: int = msgspec.field(name="target")
-    """The end of the range, exclusive; no target in the project's sense."""
+    """Exclusive end of the range, not a target as this project uses the word."""
     version: int = 0
 
 
@@ -71,14 +71,14 @@
 
 
 def decode_target(name: str, spec: object) -> Result[TargetRecord, Fault]:
-    """Return a target, or why the entry names none."""
+    """Return the target of an entry, or a fault that says why there is none."""
     try:
         raw = msgspec.convert(spec, _Entry)
     except msgspec.ValidationError as problem:
         return Error(fault(ResultCode.PLATFORM_MALFORMED, f"{name}: {problem}"))
     phase = _PHASE_BY_NAME.get(raw.state)
     if phase is None or not _is_address(raw.address):
-        detail = f"{name}: state {raw.state!r} at {raw.address!r}"
+        detail = f"{name}: bad state {raw.state!r} or address {raw.address!r}"
         return Error(fault(ResultCode.PLATFORM_MALFORMED, detail))
     return Ok(
         TargetRecord(
@@ -97,7 +97,7 @@
 
 
 def decode_report(body: bytes) -> Result[TargetReport, Fault]:
-    """Return what a target answered about its work."""
+    """Return a target's report on its work."""
     try:
         raw = msgspec.json.decode(body, type=_Report)
     except (msgspec.DecodeError, UnicodeDecodeError) as problem:
@@ -119,20 +119,20 @@
 
 
 def place_order(span: LayerSpan, fence: int, expected_orders: int) -> bytes:
-    """Return the body of an order to hold just these layers."""
+    """Return the body of an order to hold exactly these layers."""
     order = _PlaceOrder("place", "queue", span.first, span.end, fence, expected_orders)
     return msgspec.json.encode(order)
 
 
 def repath_order(request_id: str, path: Path) -> bytes:
     """Return the body of an order to move a running request to another path."""
-    return msgspec.json.encode(_RepathOrder("repath", request_id, path_text(path)))
+    return msgspec.json.encode(_RepathOrder("repath", request_id, format_path(path)))
 
 
-def path_text(path: Path) -> str:
-    """Return a path as targets read it."""
+def format_path(path: Path) -> str:
+    """Return a path in the text form that targets read."""
     return ",".join(
-        f"{part.address}={part.span.first}-{part.span.end}" for part in path
+        f"{stage.address}={stage.span.first}-{stage.span.end}" for stage in path
     )
 
 
--- a/radishfield/platform/adapter_test.py
+++ b/radishfield/platform/adapter_test.py
@@ -1,4 +1,4 @@
-"""The adapter: the platform's names and formats into the project's own, and back."""
+"""Tests of the adapter between the platform's names and formats and the project's."""
 
 import msgspec
 import pytest
@@ -60,7 +60,7 @@
 }
 
 
-def test_an_entry_becomes_a_target_and_unknown_fields_pass():
+def test_entry_decodes_to_target_and_unknown_fields_are_ignored():
     target = decode_target("i-1", ENTRY).ok
     assert target.incarnation == ("i-1", 1700000000123)
     assert target.phase is TargetPhase.READY
@@ -86,25 +86,25 @@
         ENTRY | {"born": "yesterday"},
     ],
 )
-def test_an_entry_of_another_writer_names_no_target(spec):
+def test_malformed_entry_of_another_writer_is_rejected(spec):
     problem = decode_target("i-1", spec).error
     assert problem.code is ResultCode.PLATFORM_MALFORMED
     assert "i-1" in problem.detail
 
 
 @given(st.recursive(st.none() | st.booleans() | st.integers() | st.text(), st.lists))
-def test_no_entry_whatever_it_holds_raises(spec):
+def test_decoding_an_entry_never_raises(spec):
     decode_target("i-1", spec)
     decode_target("i-1", ENTRY | {"state": spec, "layers": spec})
 
 
-def test_layers_that_hold_nothing_are_none():
+def test_empty_layer_range_decodes_to_no_span():
     empty = {"from": 0, "target": 0, "version": 0}
     assert decode_target("i-1", ENTRY | {"layers": empty}).ok.span is None
     assert decode_target("i-1", ENTRY | {"layers": None}).ok.span is None
 
 
-def test_a_configuration_becomes_routes_services_and_workspaces():
+def test_configuration_decodes_to_routes_services_and_workspaces():
     spec = {
         "version": 7,
         "routes": [ROUTE, ROUTE | {"pathPrefix": "/b/", "kind": "other"}],
@@ -126,11 +126,11 @@
 @pytest.mark.parametrize(
     "spec", [None, {}, {"version": -1}, {"version": 1, "routes": 3}]
 )
-def test_a_configuration_that_cannot_be_read_is_one_fault(spec):
+def test_malformed_configuration_gives_a_fault(spec):
     assert decode_config(spec).error.code is ResultCode.PLATFORM_MALFORMED
 
 
-def test_a_request_is_read_whatever_is_missing_or_wrong():
+def test_request_headers_may_be_missing_or_malformed():
     facts = read_request([(b"host", b"h"), (b"x-deadline-ms", b"soon")])
     assert facts.deadline_s is None
     assert (facts.prompt_tokens, facts.key) == (0, "")
@@ -148,15 +148,16 @@
 
 
 @given(st.lists(st.tuples(st.binary(max_size=12), st.binary(max_size=12)), max_size=8))
-def test_no_header_raises(headers):
+def test_reading_headers_never_raises(headers):
     read_request(headers)
     read_answer(200, headers)
 
 
-def test_a_target_gets_what_is_left_and_never_the_key():
+def test_target_headers_carry_the_remaining_time_and_no_key():
     """A caller sends headers that only the router may set.
 
-    Passed on, a caller could claim another workspace or choose the targets.
+    If they were forwarded, a caller could claim another workspace or choose the
+    targets.
     """
     caller = [
         (b"host", b"h"),
@@ -186,7 +187,7 @@
     }
 
 
-def test_an_answer_is_read_for_what_it_proves():
+def test_answer_headers_are_read():
     facts = read_answer(503, [(b"X-Not-Executed", b"1"), (b"At-Server", b"1.2.3.4:5")])
     assert facts.not_run and facts.faulty_address == "1.2.3.4:5"
     assert read_answer(421, []).not_run
@@ -197,19 +198,19 @@
     assert facts.closes and facts.idle_s == 5.0
 
 
-def test_what_concerns_one_connection_does_not_reach_the_caller():
+def test_hop_by_hop_headers_do_not_reach_the_caller():
     headers = [(b"Connection", b"close"), (b"Keep-Alive", b"timeout=5"), (b"X-A", b"1")]
     assert caller_headers(headers) == [(b"x-a", b"1")]
 
 
-def test_own_answers_carry_the_callers_id_and_when_to_come_back():
+def test_router_answers_carry_request_id_and_retry_after():
     headers = dict(own_answer_headers("r1", 0.25))
     assert headers[b"x-request-id"] == b"r1"
     assert headers[b"retry-after"] == b"0.25"
     assert b"retry-after" not in dict(own_answer_headers("r1", None))
 
 
-def test_orders_and_reports_speak_the_targets_words():
+def test_orders_and_reports_use_the_targets_format():
     order = msgspec.json.decode(place_order(LayerSpan(20, 31), 9, 2))
     assert order == {
         "operation": "place",
@@ -223,8 +224,8 @@
         PathPart("i-1", "10.0.0.1:80", LayerSpan(0, 20)),
         PathPart("i-2", "10.0.0.2:80", LayerSpan(20, 80)),
     )
-    moved = msgspec.json.decode(repath_order("r1", path))
-    assert moved["path"] == "10.0.0.1:80=0-20,10.0.0.2:80=20-80"
+    repath = msgspec.json.decode(repath_order("r1", path))
+    assert repath["path"] == "10.0.0.1:80=0-20,10.0.0.2:80=20-80"
     report = decode_report(
         b'{"busy":true,"seq":2,"waiting":1,"running":12,"kvUsed":41000,"kvTotal":9e4,'
         b'"stalled":[{"id":"r1","addr":"10.0.0.2:80"}],"pace":1.5}'
