--- a/radishfield/web/__init__.py
+++ b/radishfield/web/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP plumbing that every edge shares: ASGI steps, listeners, call budgets."""
+"""Shared HTTP code: ASGI helpers, listeners, API calls and call budgets."""
 
 from radishfield.web._address import split_address
 from radishfield.web._asgi import (
--- a/radishfield/web/_asgi.py
+++ b/radishfield/web/_asgi.py
@@ -1,4 +1,4 @@
-"""Small pieces shared by every ASGI application of the project."""
+"""Helpers shared by all ASGI applications of the project."""
 
 import msgspec
 import trio
@@ -7,9 +7,9 @@
 from radishfield.core import Fault, ResultCode, fault
 
 JSON_TYPE = b"application/json"
-# A body that is too large is read on for this long and this far before it is
-# refused.  Without it the connection would be reset while the caller still
-# sends, and the caller would see a network error in place of the answer.
+# Before a body that is too large is refused, up to this much more of it is read,
+# for at most this time.  Otherwise the connection would be reset while the caller
+# is still sending, and the caller would see a network error instead of the answer.
 DISCARD_TIMEOUT_S = 2.0
 DISCARD_BYTES = 16 << 20
 WEBSOCKET_UNSUPPORTED = 1003
@@ -23,7 +23,7 @@
 
 
 async def read_body(receive, limit: BodyLimit) -> Result[bytes, Fault]:
-    """Read a whole request body within the limit's bytes and seconds."""
+    """Read a complete request body within the limit's size and time."""
     chunks: list[bytes] = []
     size = 0
     with trio.move_on_after(limit.timeout_s):
@@ -42,7 +42,7 @@
         await _discard_body(receive)
         detail = f"body is over {limit.max_bytes} bytes"
         return Error(fault(ResultCode.BODY_TOO_LARGE, detail))
-    detail = f"body took over {limit.timeout_s} s"
+    detail = f"body did not arrive within {limit.timeout_s} s"
     return Error(fault(ResultCode.BODY_TOO_SLOW, detail))
 
 
@@ -72,7 +72,7 @@
     value: object,
     headers: list[tuple[bytes, bytes]] | None = None,
 ) -> None:
-    """Send a whole answer of one JSON value."""
+    """Send a complete answer whose body is one JSON value."""
     await send_bytes(send, status, msgspec.json.encode(value), JSON_TYPE, headers)
 
 
@@ -83,7 +83,7 @@
     content_type: bytes,
     headers: list[tuple[bytes, bytes]] | None = None,
 ) -> None:
-    """Send a whole answer."""
+    """Send a complete answer."""
     fixed = [
         (b"content-type", content_type),
         (b"content-length", str(len(body)).encode()),
@@ -116,11 +116,11 @@
 
 
 async def run_until_disconnect(receive, work) -> None:
-    """Run ``work`` and cancel it as soon as the other end has gone.
+    """Run ``work`` and cancel it as soon as the other end disconnects.
 
-    The messages are read on while the work runs.  Without that a caller that
-    has gone would hold its place at the targets until its deadline, and a full
-    queue of unread messages would keep the server from closing the connection.
+    Messages are read while the work runs.  Otherwise a caller that has disconnected
+    would occupy its slot at the targets until its deadline, and a full queue of
+    unread messages would keep the server from closing the connection.
     """
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_cancel_on_disconnect, receive, nursery.cancel_scope)
--- a/radishfield/web/_budget.py
+++ b/radishfield/web/_budget.py
@@ -1,9 +1,10 @@
-"""How often the platform may be called again: pure, time is an argument.
+"""Limits the rate of calls and retries to the platform.
 
-Pattern of load: the platform fails or slows down and every host asks again at
-once.  Without a bound the retries alone pass the platform's rate limit, which
-does not grow with the fleet, and keep it from coming back.  Each host therefore
-has a budget of calls, and waits longer, at random, after each failure.
+When the platform fails or slows down, every host retries at once.  Without a bound
+the retries alone exceed the platform's rate limit, which does not grow with the
+fleet, and keep the platform from recovering.  Each host therefore has a call budget
+and waits for a random time that grows with each failure.  Nothing here reads the
+clock: the time is an argument.
 """
 
 import random
@@ -11,13 +12,13 @@
 import msgspec
 
 CALLS_PER_S = 5.0
-"""A host's steady calls: 340 hosts together stay below the 2,000 reads."""
+"""Sustained rate of one host: 340 hosts stay below the limit of 2,000 reads."""
 
 BURST_CALLS = 40.0
-"""Enough for a start (some lists) and a handful of operators' changes."""
+"""Enough for a start (some lists) and a few changes by operators."""
 
-FIRST_BACKOFF_S = 0.1
-LONGEST_BACKOFF_S = 5.0
+BASE_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 5.0
 
 
 class CallBudget(msgspec.Struct):
@@ -26,27 +27,27 @@
     calls_per_s: float = CALLS_PER_S
     burst: float = BURST_CALLS
     level: float = BURST_CALLS
-    filled_at: float = 0.0
+    refilled_at: float = 0.0
 
     def take(self, now: float) -> bool:
-        """Take one call out; False if the budget is spent."""
-        refill = (now - self.filled_at) * self.calls_per_s
+        """Use one call of the budget; return False if none is left."""
+        refill = (now - self.refilled_at) * self.calls_per_s
         self.level = min(self.burst, self.level + max(0.0, refill))
-        self.filled_at = now
+        self.refilled_at = now
         if self.level < 1.0:
             return False
         self.level -= 1.0
         return True
 
     def next_call_in_s(self) -> float:
-        """Return the seconds until the next call fits the budget."""
+        """Return the seconds until the budget allows the next call."""
         return max(0.0, (1.0 - self.level) / self.calls_per_s)
 
 
-def backoff_s(failures: int, chance: random.Random) -> float:
-    """Return how long to wait after so many failures in a row.
+def backoff_s(failures: int, rng: random.Random) -> float:
+    """Return how long to wait after this number of failures in a row.
 
-    Full jitter: hosts that failed together do not come back together.
+    The wait is random so that hosts that failed together do not retry together.
     """
-    ceiling = min(LONGEST_BACKOFF_S, FIRST_BACKOFF_S * 2 ** min(failures, 10))
-    return chance.uniform(ceiling / 4, ceiling)
+    ceiling = min(MAX_BACKOFF_S, BASE_BACKOFF_S * 2 ** min(failures, 10))
+    return rng.uniform(ceiling / 4, ceiling)
--- a/radishfield/web/_calls.py
+++ b/radishfield/web/_calls.py
@@ -1,8 +1,9 @@
-"""Bounded calls to an object API over HTTP, and what each answer proves.
+"""Sends calls to an object API over HTTP, with a time limit and a call budget.
 
-A call is sent once.  A refusal by the other side means that nothing was done; a lost
-answer to a write means that it may be done, even later.  Which of the two it was is
-kept, since a write that is sent again after the second kind meets its own effect.
+A call is sent once.  A refusal by the other side means that nothing was done.  If the
+answer to a write is lost, the write may have been applied, or may be applied later.
+The two cases have different result codes, since a write that is sent again after a
+lost answer meets its own effect.
 """
 
 from collections import Counter
@@ -18,12 +19,12 @@
 
 T = TypeVar("T")
 
-RETRY_S = 1.0
-"""Time after which a call that found the other side away may be worth another."""
+RETRY_DELAY_S = 1.0
+"""Wait before a retry, reported with faults that a retry may overcome."""
 KEEPALIVE_S = 30.0
 MAX_CONNECTIONS = 16
 MAX_IDLE_CONNECTIONS = 4
-CLOSE_S = 2.0
+CLOSE_TIMEOUT_S = 2.0
 
 _CODE_BY_STATUS = {
     404: ResultCode.OBJECT_NOT_FOUND,
@@ -33,29 +34,29 @@
     429: ResultCode.PLATFORM_RATE_LIMITED,
     503: ResultCode.PLATFORM_UNAVAILABLE,
 }
-# With these statuses the other side says that it did not apply a write.
+# These statuses mean that the other side did not apply a write.
 
-_WORTH_A_RETRY = (ResultCode.PLATFORM_UNAVAILABLE, ResultCode.PLATFORM_RATE_LIMITED)
-_DONE = (200, 201, 202, 204)
+_RETRYABLE_CODES = (ResultCode.PLATFORM_UNAVAILABLE, ResultCode.PLATFORM_RATE_LIMITED)
+_SUCCESS_STATUSES = (200, 201, 202, 204)
 BROKEN_CONNECTION_ERRORS = (
     httpcore.NetworkError,
     httpcore.ProtocolError,
     httpcore.TimeoutException,
 )
-"""A connection ended, spoke no HTTP or said nothing; what was sent may have run."""
+"""The connection failed, violated HTTP or timed out; the request may have run."""
 
-_LOST_ERRORS = (*BROKEN_CONNECTION_ERRORS, trio.TooSlowError)
+_LOST_ANSWER_ERRORS = (*BROKEN_CONNECTION_ERRORS, trio.TooSlowError)
 
 
 class ApiCall(msgspec.Struct, frozen=True):
-    """One call.
+    """One call to the API.
 
     Attributes
     ----------
     kind : str
-        Under which it is counted.
+        Name under which the call is counted.
     limit_s : float
-        Seconds until its answer counts as lost.
+        Seconds after which the answer counts as lost.
     """
 
     kind: str
@@ -66,16 +67,16 @@
 
 
 class ApiAddress(msgspec.Struct, frozen=True):
-    """Where the API is, and how it is called.
+    """Address of the API and settings of the calls to it.
 
     Attributes
     ----------
     caller : str
-        Name under which the other side counts the calls; blank for none.
+        Name under which the other side counts the calls; empty for none.
     connect_s : float
-        Seconds for a connection.
+        Seconds allowed to open a connection.
     max_answer_bytes : int
-        More than this is a broken answer.
+        A longer answer is treated as broken.
     """
 
     address: str
@@ -89,8 +90,8 @@
     body: bytes
 
 
-class _Connections:
-    """A pool that, once retired, closes when its last call has ended."""
+class _ConnectionPool:
+    """A connection pool that, once retired, closes when its last call has ended."""
 
     __slots__ = ("in_flight", "pool", "retired")
 
@@ -110,15 +111,15 @@
     async def __aexit__(self, *problem) -> None:
         self.in_flight -= 1
         if self.retired and not self.in_flight:
-            with trio.move_on_after(CLOSE_S):
+            with trio.move_on_after(CLOSE_TIMEOUT_S):
                 await self.pool.aclose()
 
 
 class ApiCaller:
-    """Calls one API.
+    """Client of one API.
 
     ``calls_by_kind`` and ``faults_by_code`` are counters for the metrics;
-    ``last_answer_at`` is the reading of the clock at the last answer of any kind.
+    ``last_answer_at`` is the clock's time of the last answer of any kind.
     """
 
     __slots__ = (
@@ -135,7 +136,7 @@
         self._address = address
         self._budget = budget
         self._clock = clock
-        self._connections = _Connections()
+        self._connections = _ConnectionPool()
         self.calls_by_kind: Counter[str] = Counter()
         self.faults_by_code: Counter[ResultCode] = Counter()
         self.last_answer_at: float | None = None
@@ -143,8 +144,8 @@
     async def call(self, call: ApiCall) -> Result[bytes, Fault]:
         """Send a call once; return the body of its answer.
 
-        Faults are those of refusals, ``PLATFORM_UNAVAILABLE`` for a call that had no
-        effect, and ``PLATFORM_AMBIGUOUS`` for a write that may be done.
+        The fault is that of the refusal, ``PLATFORM_UNAVAILABLE`` if the call had no
+        effect, or ``PLATFORM_AMBIGUOUS`` if a write may have been applied.
         """
         result = await self._send(call)
         if result.is_error():
@@ -155,7 +156,11 @@
         if not self._budget.take(self._clock.now()):
             wait_s = self._budget.next_call_in_s()
             return Error(
-                fault(ResultCode.PLATFORM_RATE_LIMITED, "own budget spent", wait_s)
+                fault(
+                    ResultCode.PLATFORM_RATE_LIMITED,
+                    "this host's call budget is spent",
+                    wait_s,
+                )
             )
         self.calls_by_kind[call.kind] += 1
         connections = self._connections
@@ -164,12 +169,14 @@
                 async with connections as pool:
                     answer = await self._exchange(pool, call)
         except (httpcore.ConnectError, httpcore.ConnectTimeout) as problem:
-            return Error(fault(ResultCode.PLATFORM_UNAVAILABLE, repr(problem), RETRY_S))
-        except _LOST_ERRORS as problem:
+            return Error(
+                fault(ResultCode.PLATFORM_UNAVAILABLE, repr(problem), RETRY_DELAY_S)
+            )
+        except _LOST_ANSWER_ERRORS as problem:
             self._retire(connections)
-            return Error(_lost(call, repr(problem)))
+            return Error(_lost_answer_fault(call, repr(problem)))
         self.last_answer_at = self._clock.now()
-        return _sort(call, answer)
+        return _classify_answer(call, answer)
 
     async def _exchange(
         self, pool: httpcore.AsyncConnectionPool, call: ApiCall
@@ -193,16 +200,16 @@
                     return _Answer(500, b"")
             return _Answer(response.status, bytes(received))
 
-    def _retire(self, connections: _Connections) -> None:
-        """Start with new connections after an answer was lost.
+    def _retire(self, connections: _ConnectionPool) -> None:
+        """Use new connections after an answer was lost.
 
-        A connection can fall silent for good while new ones work; kept, it would
-        cost each later call its whole time limit.  Calls that are on their way over
-        the others go on: a watch that is cut off here would look like an outage.
+        A connection can stall for good while new ones work.  If it were kept, each
+        later call would wait for its full time limit.  Calls in flight on the other
+        connections continue: a watch that is aborted here would look like an outage.
         """
         if connections is self._connections:
             connections.retired = True
-            self._connections = _Connections()
+            self._connections = _ConnectionPool()
 
 
 def decode_answer(body: bytes, kind: type[T]) -> Result[T, Fault]:
@@ -213,19 +220,19 @@
         return Error(fault(ResultCode.PLATFORM_MALFORMED, str(problem)))
 
 
-def _lost(call: ApiCall, detail: str) -> Fault:
-    """Return the fault of a call that was sent and brought no answer."""
+def _lost_answer_fault(call: ApiCall, detail: str) -> Fault:
+    """Return the fault of a call that was sent but got no usable answer."""
     if call.method == "GET":
-        return fault(ResultCode.PLATFORM_UNAVAILABLE, detail, RETRY_S)
+        return fault(ResultCode.PLATFORM_UNAVAILABLE, detail, RETRY_DELAY_S)
     return fault(ResultCode.PLATFORM_AMBIGUOUS, detail)
 
 
-def _sort(call: ApiCall, answer: _Answer) -> Result[bytes, Fault]:
+def _classify_answer(call: ApiCall, answer: _Answer) -> Result[bytes, Fault]:
     code = _CODE_BY_STATUS.get(answer.status)
     if code is not None:
         detail = answer.body[:200].decode(errors="replace")
-        retry_after_s = RETRY_S if code in _WORTH_A_RETRY else None
+        retry_after_s = RETRY_DELAY_S if code in _RETRYABLE_CODES else None
         return Error(fault(code, detail, retry_after_s))
-    if answer.status not in _DONE:
-        return Error(_lost(call, f"status {answer.status}"))
+    if answer.status not in _SUCCESS_STATUSES:
+        return Error(_lost_answer_fault(call, f"unexpected status {answer.status}"))
     return Ok(answer.body)
--- a/radishfield/web/_listener.py
+++ b/radishfield/web/_listener.py
@@ -1,4 +1,4 @@
-"""Listeners: hypercorn's settings for callers, operators and metrics."""
+"""HTTP listeners, served by hypercorn, for callers, operators and metrics."""
 
 import logging
 import socket
@@ -7,11 +7,11 @@
 from hypercorn.config import Config, Sockets
 from hypercorn.trio import serve
 
-# A caller whose connection takes no more bytes holds a send that cannot be
-# cancelled.  The kernel ends the connection after this long without progress,
-# also where a middlebox has forgotten it and nothing comes back at all.
+# A send to a caller whose connection accepts no more bytes cannot be cancelled.  The
+# kernel ends the connection after this long without progress, also where a middlebox
+# has dropped the connection and no packet comes back at all.
 SEND_TIMEOUT_MS = 30_000
-# Headers have to be whole within this time after the connection was opened.
+# Headers must be complete within this time after the connection was opened.
 KEEP_ALIVE_TIMEOUT_S = 15
 TLS_HANDSHAKE_TIMEOUT_S = 5
 BACKLOG = 1024
@@ -19,9 +19,9 @@
 
 
 class ListenerConfig(Config):
-    """Hypercorn's settings, with limits on what a connection may hold up."""
+    """Hypercorn's settings, with limits on the resources that a connection holds."""
 
-    # HTTP/2 would end a stream that was cut like one that was finished.
+    # Over HTTP/2 a stream that was aborted would end like a complete one.
     alpn_protocols = ["http/1.1"]
     keep_alive_timeout = KEEP_ALIVE_TIMEOUT_S
     ssl_handshake_timeout = TLS_HANDSHAKE_TIMEOUT_S
@@ -38,8 +38,8 @@
         Parameters
         ----------
         drain_s : float
-            Seconds that requests in flight get after the listener was told to
-            stop; hypercorn's own 3 s would cut longer streams.
+            Seconds that requests in flight get to finish after the listener was
+            stopped; hypercorn's default of 3 s would abort longer streams.
         """
         config = cls()
         config.bind = [bind]
@@ -85,5 +85,5 @@
         self._config = config
 
     async def run(self, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED):
-        """Serve until cancelled; started once the address is open."""
+        """Serve until cancelled; report the start once the address is open."""
         await serve_app(self._app, self._config, task_status=task_status)
