--- a/radishfield/platform/_config.py
+++ b/radishfield/platform/_config.py
@@ -1,4 +1,4 @@
-"""The operators' configuration, decoded into the router's own types."""
+"""Decodes the operators' configuration into the router's own types."""
 
 from typing import Annotated
 
@@ -43,7 +43,7 @@
     gap_aim_ms: float = 0.0
 
 
-class _Card(msgspec.Struct, rename="camel"):
+class _AcceleratorKind(msgspec.Struct, rename="camel"):
     name: str
     mb: float
     pace: float
@@ -56,22 +56,22 @@
     load_s: float = 0.0
 
 
-class _Usual(msgspec.Struct):
+class _TypicalRequest(msgspec.Struct):
     prompt: float = 512.0
     answer: float = 128.0
 
 
 class _Delay(msgspec.Struct):
-    zone: str = msgspec.field(name="from")
-    other: str = msgspec.field(name="target")
-    """The other zone; no target in the project's sense."""
+    from_zone: str = msgspec.field(name="from")
+    to_zone: str = msgspec.field(name="target")
+    """The other zone, not a target as this project uses the word."""
     delay_ms: float = msgspec.field(name="delay_ms", default=0.0)
 
 
 class _Engine(msgspec.Struct, rename="camel"):
     slots: int = 1
     kv_capacity: float = 0.0
-    """Tokens that fit a target which holds every layer."""
+    """Tokens whose cache fits a target that holds every layer."""
     kv_token_bytes: float = 0.0
     models: list[_Model] = []
     step_ms: float = msgspec.field(default=1.0, name="step_ms")
@@ -79,13 +79,13 @@
     context_per_k: float = msgspec.field(default=0.0, name="context_per_k")
     read_per_s: float = msgspec.field(default=1000.0, name="read_per_s")
     loads_at_once: int = msgspec.field(default=1, name="loads_at_once")
-    usual: _Usual = msgspec.field(default_factory=_Usual)
+    usual: _TypicalRequest = msgspec.field(default_factory=_TypicalRequest)
     layers: int = 0
     layer_mb: float = 0.0
     act_bytes: float = 0.0
-    """Bytes that a token passes from one part to the next."""
+    """Bytes that are sent for a token from one stage to the next."""
     pipe_mbps: float = 0.0
-    kinds: list[_Card] = []
+    kinds: list[_AcceleratorKind] = []
     delays: list[_Delay] = []
     report_lag_ms: float = msgspec.field(default=200.0, name="report_lag_ms")
 
@@ -116,7 +116,7 @@
     tenants: list[_Tenant] | None = None
 
 
-_KIND_BY_NAME = {
+_ROUTE_KIND_BY_NAME = {
     "idempotent": RouteKind.IDEMPOTENT,
     "non_idempotent": RouteKind.ONCE,
     "streaming": RouteKind.STREAM,
@@ -124,7 +124,7 @@
 
 
 def decode_config(spec: object) -> Result[RoutingConfig, Fault]:
-    """Return a configuration, or the one fault that makes it unusable."""
+    """Return the configuration, or a fault that says why it is malformed."""
     try:
         raw = msgspec.convert(spec, _Config, strict=False)
     except msgspec.ValidationError as problem:
@@ -144,13 +144,13 @@
 
 
 def _route(raw: _Route) -> RouteRule:
-    shares = tuple(ServiceShare(part.service, part.weight) for part in raw.split)
-    # A kind that is not known is served as one that may never be repeated.
+    shares = tuple(ServiceShare(share.service, share.weight) for share in raw.split)
+    # An unknown kind is treated as one whose requests must never be retried.
     return RouteRule(
         name=raw.name,
         host=raw.host.lower(),
         path_prefix=raw.path_prefix,
-        kind=_KIND_BY_NAME.get(raw.kind, RouteKind.ONCE),
+        kind=_ROUTE_KIND_BY_NAME.get(raw.kind, RouteKind.ONCE),
         timeout_s=raw.timeout_ms / 1000,
         objective_s=raw.slo_ms / 1000,
         priority=raw.priority,
@@ -187,11 +187,12 @@
         step_bytes=raw.act_bytes,
         zone_mbps=raw.pipe_mbps,
         accelerator_by_name={
-            card.name: Accelerator(card.name, card.mb, card.pace, card.read_x)
-            for card in raw.kinds
+            kind.name: Accelerator(kind.name, kind.mb, kind.pace, kind.read_x)
+            for kind in raw.kinds
         },
         delay_ms_by_pair={
-            pair_of(way.zone, way.other): way.delay_ms for way in raw.delays
+            pair_of(delay.from_zone, delay.to_zone): delay.delay_ms
+            for delay in raw.delays
         },
         report_lag_s=raw.report_lag_ms / 1000,
     )
