--- a/radishfield/forwarding/_datagrams.py
+++ b/radishfield/forwarding/_datagrams.py
@@ -1,9 +1,10 @@
-"""The UDP socket between entry hosts, with many datagrams a turn of the event loop.
+"""The UDP socket between entry hosts; reads many datagrams in one event loop turn.
 
-Load pattern: a host of a large fleet hears over a hundred datagrams a second and
-sends twice as many, one at a time.  A turn of the event loop for each costs several
-times what reading or writing it does, and is most of what an idle host spends.  So
-all datagrams of a moment are read in one turn, and sending takes none.
+A host of a large fleet receives over a hundred datagrams a second, one at a time,
+and sends twice as many.  A turn of the event loop for each of them costs several
+times as much as reading or writing it, and is most of the load of an idle host.
+Therefore all datagrams that arrive within a short window are read in one turn, and
+sending takes none.
 """
 
 import socket
@@ -14,15 +15,16 @@
 from radishfield.telemetry import log_event
 from radishfield.web import split_address
 
-GATHER_S = 0.02
-"""Pause in which further datagrams gather: a twelfth of the pause between two
-statuses of a host, so that what it tells is hardly older."""
-MOST_AT_ONCE = 200
-"""Datagrams read in one turn; callers' events must not wait behind a longer row."""
+BATCH_WINDOW_S = 0.02
+"""Time for which further datagrams are collected: a twelfth of the interval between
+two statuses of a host, so that the reported state is hardly older."""
+MAX_DATAGRAMS = 200
+"""Maximum number of datagrams read in one turn; a longer batch would delay the
+events for callers."""
 
 
 class DatagramSocket:
-    """Sends without waiting, and receives what came in a moment together."""
+    """Sends without waiting, and receives datagrams in batches."""
 
     __slots__ = ("_limit", "_socket", "dropped", "sent_bytes")
 
@@ -36,7 +38,7 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Return the address that it is bound to."""
+        """Return the address to which the socket is bound."""
         return self._socket.getsockname()
 
     def __enter__(self) -> "DatagramSocket":
@@ -46,10 +48,10 @@
         self._socket.close()
 
     def send(self, data: bytes, addresses: Iterable[tuple[str, int]]) -> None:
-        """Send a datagram to each address; one that finds no room is dropped.
+        """Send a datagram to each address; drop those that the send buffer can't take.
 
-        Each datagram is followed by a newer one of the same kind, so a full buffer
-        costs less than a task that waits for it.
+        Each datagram is soon followed by a newer one of the same kind, so dropping
+        it costs less than a task that waits for buffer space.
         """
         for address in addresses:
             try:
@@ -61,16 +63,17 @@
                 log_event("peer.unreachable", peer=address[0], detail=str(problem))
 
     async def receive(self) -> list[bytes]:
-        """Wait for datagrams; return all that came, at most `MOST_AT_ONCE`."""
+        """Wait for datagrams and return them, at most `MAX_DATAGRAMS`."""
         await trio.lowlevel.wait_readable(self._socket)
-        await trio.sleep(GATHER_S)
+        await trio.sleep(BATCH_WINDOW_S)
         received: list[bytes] = []
-        for _ in range(MOST_AT_ONCE):
+        for _ in range(MAX_DATAGRAMS):
             try:
                 received.append(self._socket.recv(self._limit))
             except BlockingIOError:
                 break
             except OSError as problem:
-                # A host without a listener answers a datagram with an error here.
+                # An earlier datagram to a host without a listener is reported as
+                # an error of this call.
                 log_event("peer.error", detail=str(problem))
         return received
--- a/radishfield/forwarding/_follower.py
+++ b/radishfield/forwarding/_follower.py
@@ -1,9 +1,9 @@
-"""Follow the configuration and the list of targets in the store, by watches.
+"""Follows the configuration and the list of targets in the store by watches.
 
-A watch that waits proves nothing about how fresh its view is, so it waits for a
-short time only: each answer confirms what was known when the call was sent.  A host
-that others tell what changed (`radishfield.routing.WatchDuty`) asks nothing until it
-has to; then it lists, since the changes of the time between were told by others.
+A pending watch proves nothing about the freshness of the view, so it waits for a
+short time only: each answer confirms the state known when the call was sent.  A host
+that receives changes from others (`radishfield.routing.WatchDuty`) sends no call
+until it has to.  It then lists, since the changes in between came from other hosts.
 """
 
 import random
@@ -13,8 +13,8 @@
 from expression import Result
 
 from radishfield.core import Fault, ResultCode
-from radishfield.forwarding._peer_messages import PeerConfig, TargetNews, config_spec
-from radishfield.forwarding._view import ConfigNews, RouterView
+from radishfield.forwarding._peer_messages import PeerConfig, TargetUpdate, config_spec
+from radishfield.forwarding._view import ConfigUpdate, RouterView
 from radishfield.platform import (
     CONFIG_KIND,
     CONFIG_NAME,
@@ -31,48 +31,49 @@
 from radishfield.web import backoff_s
 
 CONFIG_WATCH_SHARE = 0.4
-"""Part of the bound on keys for which a watch of the configuration waits.  Just
-before its answer a view is two waits old, so this leaves a fifth of the bound for a
-slow store; each call is paid for, and the rates do not grow with the hosts."""
+"""Fraction of the bound on keys for which a watch of the configuration waits.  Just
+before the answer the view is two waits old, so a fifth of the bound is left for a
+slow store.  Each call is paid for, and the rates do not grow with the hosts."""
 SHARED_CONFIG_WATCH_SHARE = 0.2
-"""The same where other hosts depend on this one: its word takes up to a second to
-reach them, so it confirms its view twice as often."""
+"""The same fraction while other hosts depend on this one: its reports take up to a
+second to reach them, so it confirms its view twice as often."""
 TARGETS_WATCH_S = 2.5
-"""A change wakes the watch at once; its wait is only how long a connection that has
-fallen silent goes unnoticed, and work may reach a target that left for two seconds
-after the time that cuts excuse."""
+"""Maximum wait of a watch of the targets.  A change ends the watch at once, so this
+only bounds how long a stalled connection goes unnoticed.  Work may reach a target
+that left for two seconds beyond the time that is excused by a partition."""
 COALESCE_S = 0.15
-"""Pause after a change.  In a storm of changes each would wake the watch of every
-host by itself."""
-LONGEST_COALESCE_S = 0.6
-"""Pause that a storm grows to, doubled from change to change: two calls a second, and
-each change in force well within the two seconds that operators allow."""
-LEAST_DUTY_LOOK_S = 0.1
-"""Shortest pause between two looks of a host that asks nothing whether it has to."""
-LOST_WATCH_S = 0.0
-"""Wait of a watch after failures.  One that waits is answered only when something
-changes: a store that is back would confirm nothing for as long, and keys would be
-refused meanwhile."""
-FAILED_WATCHES = 2
-"""Watches in a row that fail before a configuration is read anew.  A watch brings each
-version since the last that was read: over a slow link it takes longer than a call may,
-and longer still with each version that comes."""
-LONGEST_PAUSE_S = 1.0
-"""Longest pause after failures: a store that is back is noticed within a second."""
+"""Pause after a change.  In a burst of changes each one would otherwise wake the
+watch of every host separately."""
+MAX_COALESCE_S = 0.6
+"""Maximum pause in a burst; the pause doubles with each change.  It gives two calls a
+second, and each change is active well within the two seconds that operators allow."""
+MIN_DUTY_CHECK_S = 0.1
+"""Minimum pause between two checks whether a host that does not watch the store has
+to read it."""
+RECOVERY_WATCH_S = 0.0
+"""Wait of a watch after failures.  A watch that waits is answered only when something
+changes, so the view would stay unconfirmed for that long after the store has
+recovered, and keys would be refused meanwhile."""
+MAX_FAILED_WATCHES = 2
+"""Consecutive failed watches after which a configuration is listed instead.  A watch
+returns every version since the last one read.  Over a slow link this takes longer than
+the limit of a call, and even longer with each new version."""
+MAX_PAUSE_S = 1.0
+"""Maximum pause after failures: a recovered store is noticed within a second."""
 
 
 class StoreFollower:
-    """One watch on one kind of object, kept up through gaps and outages.
+    """A watch on one kind of object, maintained through history gaps and outages.
 
     Parameters
     ----------
     newest_only : bool
-        Only the newest state counts, so that reading all of it anew is no more work
-        than the changes of a while.
+        Only the newest state matters, so listing it costs no more than reading the
+        changes of some time.
     """
 
     __slots__ = (
-        "_chance",
+        "_rng",
         "_failures",
         "_due_in_s",
         "_kind",
@@ -100,7 +101,7 @@
         self._kind = kind
         self._revision: int | None = None
         self._failures = 0
-        self._chance = random.Random()
+        self._rng = random.Random()
 
     async def follow(
         self,
@@ -110,39 +111,39 @@
     ) -> None:
         """Follow until cancelled.
 
-        The callbacks get the reading of the clock before the call was sent.
+        The callbacks receive the clock reading from before the call was sent.
         """
         pause_s = COALESCE_S
         while True:
             due_in_s = self._due_in_s()
             if due_in_s > 0.0:
                 self._revision = None
-                with trio.move_on_after(max(due_in_s, LEAST_DUTY_LOOK_S)):
+                with trio.move_on_after(max(due_in_s, MIN_DUTY_CHECK_S)):
                     await self._view.followers_woken.wait()
                 continue
-            asked_at = self._view.clock.now()
-            # A sign that comes while this call still fails must not be missed.
+            requested_at = self._view.clock.now()
+            # A recovery signalled while this call is still failing must not be missed.
             store_back = self._view.store_back
             if self._revision is None:
                 result = await self._store.list(self._kind)
                 deliver = on_listing
             else:
-                wait_s = LOST_WATCH_S if self._failures else self._wait_s()
+                wait_s = RECOVERY_WATCH_S if self._failures else self._wait_s()
                 result = await self._store.watch(self._kind, self._revision, wait_s)
                 deliver = on_changes
             if result.is_error():
-                await self._failed(result, on_failure, store_back)
+                await self._handle_failure(result, on_failure, store_back)
                 continue
-            self._regained()
+            self._record_recovery()
             self._revision = result.ok.revision
-            deliver(result.ok, asked_at)
+            deliver(result.ok, requested_at)
             if isinstance(result.ok, Changes) and result.ok.changes:
                 await trio.sleep(pause_s)
-                pause_s = min(LONGEST_COALESCE_S, pause_s * 2)
+                pause_s = min(MAX_COALESCE_S, pause_s * 2)
             else:
                 pause_s = COALESCE_S
 
-    async def _failed(
+    async def _handle_failure(
         self,
         result: Result,
         on_failure: Callable[[Fault], None],
@@ -154,7 +155,7 @@
             self._revision = None
             return
         self._failures += 1
-        if self._newest_only and self._failures >= FAILED_WATCHES:
+        if self._newest_only and self._failures >= MAX_FAILED_WATCHES:
             self._revision = None
         if self._failures == 1:
             log_event(
@@ -164,19 +165,19 @@
                 detail=problem.detail,
             )
         on_failure(problem)
-        pause_s = min(LONGEST_PAUSE_S, backoff_s(self._failures, self._chance))
+        pause_s = min(MAX_PAUSE_S, backoff_s(self._failures, self._rng))
         with trio.move_on_after(pause_s):
             await store_back.wait()
 
-    def _regained(self) -> None:
+    def _record_recovery(self) -> None:
         if self._failures:
             log_event("store.regained", kind=self._kind, failures=self._failures)
-            self._view.note_store_back()
+            self._view.notify_store_back()
         self._failures = 0
 
 
 class ConfigFollower:
-    """Keeps the newest configuration in force, and knows how fresh it is."""
+    """Keeps the newest configuration active and records its freshness."""
 
     __slots__ = ("_follower", "_on_limits", "_view")
 
@@ -191,7 +192,7 @@
             store, view, CONFIG_KIND, self._wait_s, self._due_in_s, newest_only=True
         )
         self._on_limits = on_limits
-        view.hear_config = self._hear_config
+        view.on_config = self._apply_peer_config
 
     def _wait_s(self) -> float:
         shared = self._view.watch_duty.shared
@@ -216,36 +217,38 @@
     async def run(self, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED):
         """Follow until cancelled."""
         task_status.started()
-        await self._follower.follow(self._listed, self._changed, self._failed)
+        await self._follower.follow(
+            self._apply_listing, self._apply_changes, self._handle_failure
+        )
 
-    def _failed(self, problem: Fault) -> None:
+    def _handle_failure(self, problem: Fault) -> None:
         self._view.freshness.failed(self._view.clock.now())
 
-    def _listed(self, listing: Listing, asked_at: float) -> None:
+    def _apply_listing(self, listing: Listing, requested_at: float) -> None:
         found = [value for value in listing.values if value.name == CONFIG_NAME]
-        self._adopt_newest(found, asked_at)
+        self._adopt_newest(found, requested_at)
 
-    def _changed(self, changes: Changes, asked_at: float) -> None:
+    def _apply_changes(self, changes: Changes, requested_at: float) -> None:
         found = [
             change.value
             for change in changes.changes
             if change.value.name == CONFIG_NAME and not change.deleted
         ]
-        self._adopt_newest(found, asked_at)
+        self._adopt_newest(found, requested_at)
 
-    def _adopt_newest(self, found: list[StoredValue], asked_at: float) -> None:
+    def _adopt_newest(self, found: list[StoredValue], requested_at: float) -> None:
         usable = True
         for value in found[-1:]:
             self._view.config_reads += 1
-            usable = self._adopt(value, asked_at)
+            usable = self._adopt(value, requested_at)
             if usable and self._view.watch_duty.tells_others:
                 version = self._view.table.config.version
-                self._view.config_news.add(ConfigNews(version, value))
+                self._view.config_updates.add(ConfigUpdate(version, value))
         if usable and self._view.table is not None:
-            self._view.freshness.confirm(asked_at, self._view.clock.now())
+            self._view.freshness.confirm(requested_at, self._view.clock.now())
 
-    def _hear_config(self, message: PeerConfig) -> None:
-        """Take a version that another host passes on; it proves nothing of its age."""
+    def _apply_peer_config(self, message: PeerConfig) -> None:
+        """Adopt a version that another host forwards; it does not confirm freshness."""
         table = self._view.table
         if table is not None and message.version <= table.config.version:
             return
@@ -253,9 +256,9 @@
         value = StoredValue(CONFIG_NAME, message.revision, spec)
         self._adopt(value, self._view.clock.now())
 
-    def _adopt(self, value: StoredValue, asked_at: float) -> bool:
-        """Put a version in force; return whether the view is the newest now."""
-        began_at = self._view.clock.now()
+    def _adopt(self, value: StoredValue, requested_at: float) -> bool:
+        """Activate a version; return whether the view is the newest now."""
+        started_at = self._view.clock.now()
         decoded = decode_config(value.spec)
         if decoded.is_error():
             log_event(
@@ -267,7 +270,7 @@
         config = decoded.ok
         table = self._view.table
         if table is not None and config.version < table.config.version:
-            # A stale answer; taking it would undo what callers have seen.
+            # A stale answer: adopting it would revert a change that callers have seen.
             log_event(
                 "config.older",
                 version=config.version,
@@ -283,14 +286,14 @@
             revision=value.revision,
             routes=len(config.routes),
             keys=len(config.workspace_by_key),
-            after_s=round(began_at - asked_at, 3),
-            decode_s=round(self._view.clock.now() - began_at, 3),
+            after_s=round(started_at - requested_at, 3),
+            decode_s=round(self._view.clock.now() - started_at, 3),
         )
         return True
 
 
 class TargetFollower:
-    """Keeps the directory of targets as the store lists them."""
+    """Keeps the directory of targets in step with the store."""
 
     __slots__ = ("_follower", "_listed_revision", "_revision_by_id", "_view")
 
@@ -301,7 +304,7 @@
         )
         self._revision_by_id: dict[str, int] = {}
         self._listed_revision = 0
-        view.hear_news = self._hear_news
+        view.on_target_updates = self._apply_peer_updates
 
     def _due_in_s(self) -> float:
         return self._view.watch_duty.targets_due_in_s(self._view.clock.now())
@@ -311,9 +314,11 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._expire)
             task_status.started()
-            await self._follower.follow(self._listed, self._changed, self._failed)
+            await self._follower.follow(
+                self._apply_listing, self._apply_changes, self._handle_failure
+            )
 
-    def _listed(self, listing: Listing, asked_at: float) -> None:
+    def _apply_listing(self, listing: Listing, requested_at: float) -> None:
         record_by_id = {}
         for value in listing.values:
             decoded = decode_target(value.name, value.spec)
@@ -324,7 +329,7 @@
                     "target.unreadable", target=value.name, detail=decoded.error.detail
                 )
         now = self._view.clock.now()
-        self._view.targets_confirmed_at = asked_at
+        self._view.targets_confirmed_at = requested_at
         self._view.watch_duty.read_targets(now)
         self._listed_revision = listing.revision
         self._revision_by_id = {value.name: value.revision for value in listing.values}
@@ -335,8 +340,8 @@
         )
         self._view.free_room()
 
-    def _changed(self, changes: Changes, asked_at: float) -> None:
-        self._view.targets_confirmed_at = asked_at
+    def _apply_changes(self, changes: Changes, requested_at: float) -> None:
+        self._view.targets_confirmed_at = requested_at
         self._view.watch_duty.read_targets(self._view.clock.now())
         for change in changes.changes:
             value = change.value
@@ -349,12 +354,12 @@
             if changed and self._view.watch_duty.shared:
                 spec = None if change.deleted else value.spec
                 revision = self._revision_by_id[value.name]
-                self._view.news.add(TargetNews(value.name, revision, spec))
+                self._view.target_updates.add(TargetUpdate(value.name, revision, spec))
         if changes.changes:
             self._view.free_room()
 
-    def _hear_news(self, items: list[TargetNews]) -> None:
-        """Take what another host passes on; news may arrive late or twice."""
+    def _apply_peer_updates(self, items: list[TargetUpdate]) -> None:
+        """Apply updates from another host, which may arrive late or twice."""
         for item in items:
             known = self._revision_by_id.get(item.target_id, self._listed_revision)
             if item.revision < known or (
@@ -369,7 +374,7 @@
         self._view.free_room()
 
     def _update(self, value: StoredValue) -> bool:
-        """Take a target's entry; return whether the list is another one now."""
+        """Apply a target's entry; return whether the list changed."""
         decoded = decode_target(value.name, value.spec)
         if decoded.is_error():
             log_event(
@@ -398,7 +403,7 @@
         return changed
 
     def _remove(self, target_id: str, revision: int) -> bool:
-        """Take a target off the list; return whether it is off now."""
+        """Remove a target from the list; return whether it is gone from it now."""
         removal = self._view.directory.remove(target_id, self._view.clock.now())
         self._log_removal(removal, revision)
         return not removal.held
@@ -408,7 +413,7 @@
             "target.removed", target=removal.id, held=removal.held, revision=revision
         )
 
-    def _failed(self, problem: Fault) -> None:
+    def _handle_failure(self, problem: Fault) -> None:
         self._view.directory.store_failed(self._view.clock.now())
 
     async def _expire(self) -> None:
--- a/radishfield/forwarding/_gossip.py
+++ b/radishfield/forwarding/_gossip.py
@@ -1,9 +1,9 @@
-"""What entry hosts tell each other: work in flight, lost and leaving targets, duties.
+"""Gossip between entry hosts: work in flight, unreachable and leaving targets, duties.
 
-In zones of many hosts a few follow the store and tell the others what it says.
+In zones with many hosts a few follow the store and forward its changes to the others.
 
-Datagrams that are lost cost nothing: each one holds the whole of what changes, and
-the next follows in a fraction of a second.
+Lost datagrams do no harm: each one holds the complete changing state, and the next
+follows within a fraction of a second.
 """
 
 import math
@@ -17,10 +17,10 @@
 from radishfield.forwarding._crash_gossip import CrashGossip
 from radishfield.forwarding._datagrams import DatagramSocket
 from radishfield.forwarding._peer_amounts import (
-    held_by_id,
-    link_shares_of,
-    share_by_pair,
-    work_of,
+    decode_link_shares,
+    decode_work,
+    encode_link_shares,
+    encode_work,
 )
 from radishfield.forwarding._peer_finder import PeerFinder, split_peer_address
 from radishfield.forwarding._peer_messages import (
@@ -29,14 +29,14 @@
     Pace,
     PeerConfig,
     PeerCrashes,
-    PeerNews,
     PeerStatus,
-    PeerSum,
+    PeerTargetUpdates,
+    PeerZoneTotal,
     Use,
     config_datagram,
     decoder,
     encoder,
-    news_datagrams,
+    update_datagrams,
 )
 from radishfield.forwarding._peers import Peer, PeerBook
 from radishfield.forwarding._view import RouterView
@@ -51,50 +51,51 @@
 from radishfield.telemetry import DeferredTelemetry, log_event
 
 GOSSIP_PERIOD_S = 0.25
-"""Between two statuses a host starts one or two requests; later, hosts of a zone
-would crowd the same target."""
-NEWS_PERIOD_S = 0.05
-"""Pause in which news of targets gathers; they mostly come by tens."""
-SUMS_EVERY = 2
-"""Watchers of other zones hear a zone's sum with each second status."""
-PASS_DUTY_S = 1.0
-"""A duty is passed on for this long after its holder was heard: half of a lease."""
-MOST_REPORTED_LOST = 4
-"""A host that has lost more targets than this at once is itself the one that is cut
-off; believed, its neighbours would leave out what they reach."""
-MOST_LIST_WORDS = 8
-"""Words of watchers that are kept: those of a second and a half."""
-MOST_PACES = 40
-"""Slow targets that are told, some 25 bytes each; more of them at a time are a matter
-of the fleet, which no path avoids."""
-MOST_ECHOES = 120
-"""Some 30 bytes each: half of a datagram.  A host that is not echoed confirms its
-view with the store."""
-
-
-class _ListWord(msgspec.Struct, frozen=True):
-    """A watcher's word on its list, and since when that had been confirmed."""
+"""Interval between statuses, in which a host starts one or two requests.  With a
+longer one the hosts of a zone would overload the same target."""
+UPDATE_COALESCE_S = 0.05
+"""Time for which updates of targets are collected; they mostly come in tens."""
+TOTALS_EVERY = 2
+"""Watchers of other zones receive a zone's totals with every second status."""
+FORWARD_DUTY_S = 1.0
+"""Time for which a duty is forwarded after its holder last reported it: half of a
+lease."""
+MAX_REPORTED_UNREACHABLE = 4
+"""A host that reports more unreachable targets at once than this is itself partitioned.
+If its report were applied, neighbours would exclude targets that they can reach."""
+MAX_LIST_CONFIRMATIONS = 8
+"""Confirmations by watchers that are kept: those of about one and a half seconds."""
+MAX_PACES = 40
+"""Maximum number of slow targets in a message, some 25 bytes each.  If more are slow
+at once, the whole fleet is affected and no path avoids them."""
+MAX_ECHOES = 120
+"""Maximum number of echoes, some 30 bytes each: half of a datagram.  A host that is
+not echoed confirms its view with the store."""
+
+
+class _ListConfirmation(msgspec.Struct, frozen=True):
+    """A watcher's digest of its list of targets, and the age of its confirmation."""
 
     digest: int
     age_s: float
-    heard_at: float
+    received_at: float
 
 
 class Gossip:
-    """Tells the other hosts, and hears them, over UDP."""
+    """Exchanges state with the other hosts over UDP."""
 
     __slots__ = (
         "_address",
-        "_began_at",
+        "_started_at",
         "_book",
-        "_chance",
+        "_rng",
         "_closed_links",
         "_crashes",
         "_duties",
-        "_duty_heard_at",
+        "_duty_received_at",
         "_finder",
         "_host_id",
-        "_list_words",
+        "_list_confirmations",
         "_round",
         "_socket",
         "_view",
@@ -108,20 +109,22 @@
         self._address = address
         self._view = view
         self._duties = duties
-        self._duty_heard_at: dict[str, float] = {}
-        self._chance = random.Random()
-        self._book = PeerBook(view.zone, self._chance)
+        self._duty_received_at: dict[str, float] = {}
+        self._rng = random.Random()
+        self._book = PeerBook(view.zone, self._rng)
         self._finder = PeerFinder(host_id, address, store, view, self._book)
         self._crashes = CrashGossip(host_id, view, self._book, self._send)
         self._closed_links: set[Pair] = set()
-        self._list_words: deque[_ListWord] = deque(maxlen=MOST_LIST_WORDS)
+        self._list_confirmations: deque[_ListConfirmation] = deque(
+            maxlen=MAX_LIST_CONFIRMATIONS
+        )
         self._round = 0
-        self._began_at = view.clock.now()
+        self._started_at = view.clock.now()
         self._socket: DatagramSocket | None = None
         self.malformed = 0
 
     def watch_counters(self, telemetry: DeferredTelemetry) -> None:
-        """Export what is counted here; a datagram that can't be read leaves no line."""
+        """Export the counters; unreadable datagrams are counted, not logged."""
         telemetry.watch(
             "peer_bytes_sent",
             "Bytes to other hosts.",
@@ -139,12 +142,12 @@
         )
 
     async def run(self, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED):
-        """Talk until cancelled."""
+        """Exchange state until cancelled."""
         with DatagramSocket(self._address, DATAGRAM_BYTES) as self._socket:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._receive)
                 nursery.start_soon(self._send_statuses)
-                nursery.start_soon(self._send_news)
+                nursery.start_soon(self._send_target_updates)
                 nursery.start_soon(self._send_config)
                 nursery.start_soon(self._crashes.tell_news)
                 nursery.start_soon(self._finder.find)
@@ -152,24 +155,24 @@
 
     async def _send_statuses(self) -> None:
         while True:
-            await trio.sleep(GOSSIP_PERIOD_S * self._chance.uniform(0.9, 1.1))
+            await trio.sleep(GOSSIP_PERIOD_S * self._rng.uniform(0.9, 1.1))
             self._round += 1
             self._view.load.expire_remote(self._view.clock.now())
-            self._sum_up()
-            self._weigh_list_words(self._view.clock.now())
+            self._update_peer_summary()
+            self._apply_list_confirmations(self._view.clock.now())
             status = self._status()
             recipients = self._recipients()
             self._view.load.told_own(self._view.clock.now())
             self._view.links.told_own(self._view.clock.now())
             self._send(status, recipients)
             if self._view.watch_duty.tells_others:
-                self._send_sums(recipients)
+                self._send_zone_totals(recipients)
             self._view.load.add_up(self._view.zone, self._view.clock.now())
             self._view.links.advance(self._view.clock.now(), self._view.zone)
             self._log_links(self._view.clock.now())
 
     def _log_links(self, now: float) -> None:
-        """Log which links were closed to prompts, or opened, since the last look."""
+        """Log the links closed to prompts, or opened, since the last check."""
         links = self._view.links
         shares = links.shares(now, self._view.zone)
         closed = links.full(shares)
@@ -183,46 +186,50 @@
             )
         self._closed_links = closed
 
-    def _send_sums(self, recipients: list[Peer]) -> None:
-        """Add up the work of the zone, and tell it with that of other zones."""
+    def _send_zone_totals(self, recipients: list[Peer]) -> None:
+        """Add up the work of the zone and send it with the totals of other zones."""
         load, links = self._view.load, self._view.links
         now, zone = self._view.clock.now(), self._view.zone
-        hosts = self._book.near()
+        hosts = self._book.own_zone_peers()
         load.sums.take(zone, ZoneSum(now, load.sum_of(hosts)))
         links.sums.take(zone, ZoneSum(now, links.sum_of(hosts, now)))
-        near = [peer for peer in recipients if peer.zone == zone]
+        own_zone = [peer for peer in recipients if peer.zone == zone]
         link_sums = links.sums.fresh(now)
-        for each, item in load.sums.fresh(now).items():
-            shares = link_sums[each].by_key if each in link_sums else {}
-            work = work_of(item.by_key)
-            told = PeerSum(
-                each, now - item.at, work, link_shares_of(shares), self._paces(now)
+        for summed_zone, total in load.sums.fresh(now).items():
+            shares = link_sums[summed_zone].by_key if summed_zone in link_sums else {}
+            work = encode_work(total.by_key)
+            message = PeerZoneTotal(
+                summed_zone,
+                now - total.at,
+                work,
+                encode_link_shares(shares),
+                self._paces(now),
             )
-            data = encoder.encode(told)
+            data = encoder.encode(message)
             if len(data) > DATAGRAM_BYTES:
-                log_event("sum.too_long", zone=each, bytes=len(data))
+                log_event("sum.too_long", zone=summed_zone, bytes=len(data))
                 continue
-            self._send(data, near)
-            if each == zone and self._round % SUMS_EVERY == 0:
+            self._send(data, own_zone)
+            if summed_zone == zone and self._round % TOTALS_EVERY == 0:
                 self._send(data, self._book.far_watchers())
 
-    async def _send_news(self) -> None:
-        """Pass on what the store told, to every host of the zone."""
+    async def _send_target_updates(self) -> None:
+        """Forward changes of targets in the store to every host of the zone."""
         while True:
-            await self._view.news.wait()
-            await trio.sleep(NEWS_PERIOD_S)
-            items = self._view.news.take()
-            near = self._book.present_near(self._view.clock.now())
-            for datagram in news_datagrams(items):
-                self._send(datagram, near)
+            await self._view.target_updates.wait()
+            await trio.sleep(UPDATE_COALESCE_S)
+            updates = self._view.target_updates.take()
+            peers = self._book.present_near(self._view.clock.now())
+            for datagram in update_datagrams(updates):
+                self._send(datagram, peers)
 
     async def _send_config(self) -> None:
-        """Pass on a new configuration, so that forty hosts need not read it."""
+        """Forward a new configuration, so that forty hosts need not read it."""
         while True:
-            await self._view.config_news.wait()
-            item = self._view.config_news.take()[-1]
-            value = item.value
-            data = config_datagram(item.version, value.revision, value.spec)
+            await self._view.config_updates.wait()
+            update = self._view.config_updates.take()[-1]
+            value = update.value
+            data = config_datagram(update.version, value.revision, value.spec)
             if data is not None:
                 self._send(data, self._book.present_near(self._view.clock.now()))
 
@@ -236,7 +243,7 @@
                 self._host_id,
                 self._view.zone,
                 self._address,
-                work_of(self._view.load.own_by_id),
+                encode_work(self._view.load.own_by_id),
                 self._view.directory.leaving_incarnations(),
                 self._view.directory.lost_incarnations(now),
                 self._duties(),
@@ -249,14 +256,14 @@
                     Use(service, use.firsts, use.repeats)
                     for service, use in self._view.retry_use().items()
                 ],
-                link_shares_of(self._view.links.own_shares(now)),
+                encode_link_shares(self._view.links.own_shares(now)),
                 self._view.watch_duty.on_duty,
                 self._view.directory.digest(),
                 _or_negative(now - self._view.targets_confirmed_at),
                 [
                     duty
-                    for duty, heard_at in self._duty_heard_at.items()
-                    if now - heard_at < PASS_DUTY_S
+                    for duty, received_at in self._duty_received_at.items()
+                    if now - received_at < FORWARD_DUTY_S
                 ],
                 self._view.directory.answered_lately(now),
                 self._paces(now),
@@ -265,22 +272,22 @@
         )
 
     def _echoes(self, now: float) -> list[Echo]:
-        """Return the hosts heard lately; past a datagram's room, the last ones."""
-        heard = [
-            (peer.heard_at, host_id, peer.sent_at)
+        """Return the live hosts; if too many for a datagram, the most recent ones."""
+        received = [
+            (peer.received_at, host_id, peer.sent_at)
             for host_id, peer in self._book.alive(now).items()
         ]
-        if len(heard) > MOST_ECHOES:
-            heard = sorted(heard, reverse=True)[:MOST_ECHOES]
-        return [Echo(host_id, sent_at) for _, host_id, sent_at in heard]
+        if len(received) > MAX_ECHOES:
+            received = sorted(received, reverse=True)[:MAX_ECHOES]
+        return [Echo(host_id, sent_at) for _, host_id, sent_at in received]
 
     def _paces(self, now: float) -> list[Pace]:
         return [
             Pace(target_id, round(pace, 2), round(age_s, 2))
             for target_id, pace, age_s in self._view.paces.known(now)
-        ][:MOST_PACES]
+        ][:MAX_PACES]
 
-    def _take_paces(self, paces: list[Pace]) -> None:
+    def _record_paces(self, paces: list[Pace]) -> None:
         now = self._view.clock.now()
         for item in paces:
             self._view.paces.note(item.target_id, item.pace, now - max(0.0, item.age_s))
@@ -296,31 +303,33 @@
     async def _receive(self) -> None:
         while True:
             for data in await self._socket.receive():
-                self._hear(data)
+                self._handle_datagram(data)
 
-    def _hear(self, data: bytes) -> None:
+    def _handle_datagram(self, data: bytes) -> None:
         try:
             match decoder.decode(data):
-                case PeerNews(items):
-                    self._view.hear_news(items)
+                case PeerTargetUpdates(items):
+                    self._view.on_target_updates(items)
                 case PeerConfig() as message:
-                    self._view.hear_config(message)
+                    self._view.on_config(message)
                 case PeerCrashes() as message:
                     self._crashes.hear(message)
-                case PeerSum() as told:
-                    self._take_sum(told)
+                case PeerZoneTotal() as message:
+                    self._apply_zone_total(message)
                 case PeerStatus() as status:
-                    self._take(status, split_peer_address(status.address))
+                    self._apply_status(status, split_peer_address(status.address))
         except (msgspec.DecodeError, ValueError):
             self.malformed += 1
 
-    def _take_sum(self, told: PeerSum) -> None:
-        at = self._view.clock.now() - max(0.0, told.age_s)
-        self._view.load.sums.take(told.zone, ZoneSum(at, held_by_id(told.work)))
-        self._view.links.sums.take(told.zone, ZoneSum(at, share_by_pair(told.links)))
-        self._take_paces(told.paces)
+    def _apply_zone_total(self, message: PeerZoneTotal) -> None:
+        at = self._view.clock.now() - max(0.0, message.age_s)
+        self._view.load.sums.take(message.zone, ZoneSum(at, decode_work(message.work)))
+        self._view.links.sums.take(
+            message.zone, ZoneSum(at, decode_link_shares(message.links))
+        )
+        self._record_paces(message.paces)
 
-    def _take(self, status: PeerStatus, address: tuple[str, int]) -> None:
+    def _apply_status(self, status: PeerStatus, address: tuple[str, int]) -> None:
         if status.host_id == self._host_id:
             return
         now = self._view.clock.now()
@@ -329,8 +338,8 @@
             peer = Peer(address, status.zone, now)
             self._book.peer_by_id[status.host_id] = peer
             log_event("peer.joined", peer=status.host_id, zone=status.zone)
-            self._view.hosts = self._book.counted(now)
-        peer.heard_at = now
+            self._view.hosts = self._book.count_hosts(now)
+        peer.received_at = now
         peer.sent_at = status.sent_at
         peer.store_silent_s = math.inf
         if status.store_silent_s >= 0:
@@ -341,67 +350,72 @@
         echoed_at = self._echoed_at(status, now)
         if echoed_at is not None:
             self._merge_freshness(status, echoed_at)
-            self._take_list_word(status, echoed_at, now)
+            self._add_list_confirmation(status, echoed_at, now)
         self._view.peers.use_by_service_by_host[status.host_id] = {
             use.service: RetryUse(use.firsts, use.repeats) for use in status.uses
         }
         self._view.links.report_remote(
-            status.host_id, share_by_pair(status.links), status.zone
+            status.host_id, decode_link_shares(status.links), status.zone
         )
         self._view.load.report_remote(
-            status.host_id, held_by_id(status.work), now, status.zone
+            status.host_id, decode_work(status.work), now, status.zone
         )
-        self._take_paces(status.paces)
+        self._record_paces(status.paces)
         self._crashes.compare(status.host_id, peer, status.crashes_checksum)
         for incarnation in status.leaving:
             self._view.directory.mark_leaving(incarnation)
-        if len(status.lost) <= MOST_REPORTED_LOST:
+        if len(status.lost) <= MAX_REPORTED_UNREACHABLE:
             for target_id, started_ms in status.lost:
-                self._merge_lost(status.host_id, target_id, started_ms)
+                self._merge_unreachable(status.host_id, target_id, started_ms)
         if status.zone == self._view.zone:
             for target_id, started_ms in status.answered:
                 self._merge_answered(target_id, started_ms, now)
         for duty in status.duties:
-            self._duty_heard_at[duty] = now
-        for duty in (*status.duties, *status.passed_duties):
+            self._duty_received_at[duty] = now
+        for duty in (*status.duties, *status.forwarded_duties):
             self._view.duty_reported_at[duty] = now
 
-    def _take_list_word(self, status: PeerStatus, echoed_at: float, now: float) -> None:
-        """Take a watcher's word on its list, counted from this host's own question.
+    def _add_list_confirmation(
+        self, status: PeerStatus, echoed_at: float, now: float
+    ) -> None:
+        """Store a watcher's confirmation of its list, dated by this host's own status.
 
-        A host that slept finds old words in its socket: they echo what it sent
-        before, and would have it use for seconds a list that has changed since.
+        A host that was suspended finds old statuses in its socket.  They echo what
+        it sent before; dated by arrival, they would make it use for seconds a list
+        that has changed since.
         """
         if not status.watches or status.targets_age_s < 0:
             return
         age_s = status.targets_age_s + now - echoed_at
-        self._list_words.append(_ListWord(status.targets_digest, age_s, now))
-        self._weigh_list_words(now)
+        self._list_confirmations.append(
+            _ListConfirmation(status.targets_digest, age_s, now)
+        )
+        self._apply_list_confirmations(now)
 
-    def _weigh_list_words(self, now: float) -> None:
-        """Take the words on lists that this host has, or has had, by now.
+    def _apply_list_confirmations(self, now: float) -> None:
+        """Apply the confirmations of lists that this host has now or had recently.
 
-        News of a change often comes after the word of a watcher that knows it.
+        An update often arrives after the confirmation of a watcher that has it.
         """
-        for word in list(self._list_words):
-            if self._view.directory.has_had(word.digest):
-                self._list_words.remove(word)
-                age_s = word.age_s + now - word.heard_at
-                self._view.watch_duty.told(True, age_s, word.heard_at)
+        for confirmation in list(self._list_confirmations):
+            if self._view.directory.has_had(confirmation.digest):
+                self._list_confirmations.remove(confirmation)
+                age_s = confirmation.age_s + now - confirmation.received_at
+                self._view.watch_duty.told(True, age_s, confirmation.received_at)
 
     def _echoed_at(self, status: PeerStatus, now: float) -> float | None:
-        """Return when this host sent what another had heard last.
+        """Return when this host sent the status that another received last.
 
-        An echo of what an earlier process of this host sent does not count: after a
-        loss of power the clock may have begun anew, and the echo's time lie ahead.
+        An echo of a status from an earlier process of this host is ignored: after a
+        power loss the clock may have restarted, and the echoed time may lie ahead.
         """
         for echo in status.echoes:
             if echo.host_id == self._host_id:
-                return echo.sent_at if self._began_at <= echo.sent_at <= now else None
+                return echo.sent_at if self._started_at <= echo.sent_at <= now else None
         return None
 
     def _merge_freshness(self, status: PeerStatus, echoed_at: float) -> None:
-        """Take another host's confirmation that the version in force is the newest."""
+        """Apply another host's confirmation that the active version is the newest."""
         if status.config_age_s < 0 or not self._version():
             return
         confirmation = PeerConfirmation(
@@ -411,12 +425,12 @@
         if confirmed_at is not None:
             self._view.freshness.confirm_by_peer(confirmed_at)
 
-    def _sum_up(self) -> None:
-        """Note how many hosts are heard, and how fresh the freshest is."""
+    def _update_peer_summary(self) -> None:
+        """Record how many hosts are alive, and how recently one reached the store."""
         now = self._view.clock.now()
         view_of_peers = self._view.peers
         alive = self._book.alive(now)
-        self._view.hosts = self._book.counted(now)
+        self._view.hosts = self._book.count_hosts(now)
         self._assign_duty(now)
         view_of_peers.heard = len(alive)
         view_of_peers.ever_heard = view_of_peers.ever_heard or bool(alive)
@@ -429,18 +443,18 @@
                 self._view.links.forget(host_id)
 
     def _assign_duty(self, now: float) -> None:
-        """Share the duty among the hosts of the zone."""
-        near = self._book.zone_hosts(now)
-        if self._view.watch_duty.assign(self._host_id, near):
+        """Assign the duty of following the store among the hosts of the zone."""
+        others = self._book.zone_hosts(now)
+        if self._view.watch_duty.assign(self._host_id, others):
             self._view.wake_followers()
             log_event(
                 "watch.duty",
                 on_duty=self._view.watch_duty.on_duty,
-                zone_hosts=len(near) + 1,
+                zone_hosts=len(others) + 1,
             )
 
-    def _merge_lost(self, host_id: str, target_id: str, started_ms: int) -> None:
-        """Ask a target that another host found lost before it is used again."""
+    def _merge_unreachable(self, host_id: str, target_id: str, started_ms: int) -> None:
+        """Have a target probed before further use if another host can't reach it."""
         directory, now = self._view.directory, self._view.clock.now()
         record = directory.find(target_id)
         if record is None or record.started_ms != started_ms:
@@ -461,5 +475,5 @@
 
 
 def _or_negative(age_s: float) -> float:
-    """Return an age as it is told: negative where nothing was confirmed yet."""
+    """Return an age as it is sent: negative if nothing was confirmed yet."""
     return age_s if math.isfinite(age_s) else -1.0
--- a/radishfield/forwarding/_metrics.py
+++ b/radishfield/forwarding/_metrics.py
@@ -1,4 +1,4 @@
-"""The page of counters and histograms that operators scrape."""
+"""The HTTP page with the counters and histograms that operators scrape."""
 
 from radishfield.forwarding._connections import TargetConnections
 from radishfield.forwarding._targets import Targets
--- a/radishfield/forwarding/_peer_finder.py
+++ b/radishfield/forwarding/_peer_finder.py
@@ -1,7 +1,7 @@
-"""Hosts find each other once, in the store.
+"""Discovers the other entry hosts through the store, once at startup.
 
-Each writes its address before it lists the others', so of any two the later one sees
-the earlier one and tells it of itself.
+Each host writes its address before it lists the others.  Of any two hosts the later
+one therefore finds the earlier one and sends it its status.
 """
 
 import random
@@ -25,9 +25,9 @@
 
 
 class PeerFinder:
-    """Registers this host, and finds those that registered before."""
+    """Registers this host and finds those that registered before."""
 
-    __slots__ = ("_address", "_book", "_chance", "_host_id", "_store", "_view")
+    __slots__ = ("_address", "_book", "_rng", "_host_id", "_store", "_view")
 
     def __init__(
         self,
@@ -42,21 +42,21 @@
         self._store = store
         self._view = view
         self._book = book
-        self._chance = random.Random()
+        self._rng = random.Random()
 
     async def find(self) -> None:
-        """Write this host's address, then read the others'."""
+        """Write this host's address, then read the addresses of the others."""
         failures = 0
         while not await self._registered():
             failures += 1
-            await trio.sleep(backoff_s(failures, self._chance))
+            await trio.sleep(backoff_s(failures, self._rng))
         failures = 0
         while (listing := await self._store.list(HOSTS_KIND)).is_error():
             failures += 1
-            await trio.sleep(backoff_s(failures, self._chance))
+            await trio.sleep(backoff_s(failures, self._rng))
         for value in listing.ok.values:
             self.add_listed(value.name, value.spec)
-        self._view.hosts = self._book.counted(self._view.clock.now())
+        self._view.hosts = self._book.count_hosts(self._view.clock.now())
         log_event(
             "peers.found",
             peers=len(self._book.peer_by_id),
@@ -64,7 +64,7 @@
         )
 
     def add_listed(self, host_id: str, spec: object) -> None:
-        """Add a host that the store lists, unless it is known."""
+        """Add a host that the store lists, unless it is already known."""
         if host_id == self._host_id or host_id in self._book.peer_by_id:
             return
         try:
@@ -96,8 +96,8 @@
 
 
 def split_peer_address(address: str) -> tuple[str, int]:
-    """Return a peer's address; raise `ValueError` where it names no host."""
+    """Return a peer's host and port; raise `ValueError` if the host is missing."""
     host, port = split_address(address)
     if not host:
-        raise ValueError(f"{address!r} is no address")
+        raise ValueError(f"peer address {address!r} has no host")
     return host, port
--- a/radishfield/forwarding/_peer_messages.py
+++ b/radishfield/forwarding/_peer_messages.py
@@ -1,4 +1,4 @@
-"""The datagrams between entry hosts, as MessagePack."""
+"""The messages between entry hosts, as datagrams of MessagePack."""
 
 import zlib
 from collections.abc import Iterator
@@ -10,13 +10,13 @@
 
 DATAGRAM_BYTES = 8 << 10
 NEWS_BYTES = DATAGRAM_BYTES - 64
-"""The rest is for the frame around the items."""
-MOST_CONFIG_BYTES = 1 << 20
-"""Longest configuration that is inflated: the store holds none that is longer."""
+"""Space for items in a datagram; the rest is for the frame around them."""
+MAX_CONFIG_BYTES = 1 << 20
+"""Maximum size of a decompressed configuration; the store holds no longer ones."""
 
 
 class Work(msgspec.Struct, array_like=True):
-    """Requests at a target, and the token-layers that they will fill there."""
+    """Requests at a target and the token-layers that they will occupy there."""
 
     target_id: str
     requests: int
@@ -25,7 +25,7 @@
 
 
 class Use(msgspec.Struct, array_like=True):
-    """What a host used of a service's allowance of repeats in its window."""
+    """A host's use of a service's retry budget within the budget's window."""
 
     service: str
     firsts: int
@@ -33,7 +33,7 @@
 
 
 class LinkShare(msgspec.Struct, array_like=True):
-    """Share of the time of the link between two zones that a host's prompts take."""
+    """Share of the time of the link between two zones taken by a host's prompts."""
 
     zone: str
     other: str
@@ -41,7 +41,7 @@
 
 
 class Pace(msgspec.Struct, array_like=True):
-    """How many times slower than its kind a target was, ``age_s`` ago."""
+    """Slowdown factor of a target against others of its kind, ``age_s`` ago."""
 
     target_id: str
     pace: float
@@ -49,19 +49,19 @@
 
 
 class Echo(msgspec.Struct, array_like=True):
-    """A host, and the time on its own clock at which it sent what was heard last."""
+    """A host, and the time on its clock at which it sent its last received status."""
 
     host_id: str
     sent_at: float
 
 
-class TargetNews(msgspec.Struct, array_like=True, frozen=True):
-    """What the store holds of one target.
+class TargetUpdate(msgspec.Struct, array_like=True, frozen=True):
+    """A target's entry in the store.
 
     Attributes
     ----------
     spec : object
-        What lies in its entry; None if the entry is gone.
+        Content of the entry; None if it was deleted.
     """
 
     target_id: str
@@ -69,19 +69,19 @@
     spec: object
 
 
-class PeerNews(msgspec.Struct, array_like=True, tag="news"):
-    """What the store told a host of targets, passed on within its zone."""
+class PeerTargetUpdates(msgspec.Struct, array_like=True, tag="news"):
+    """Changes of targets in the store, forwarded by a host within its zone."""
 
-    items: list[TargetNews]
+    items: list[TargetUpdate]
 
 
 class PeerConfig(msgspec.Struct, array_like=True, tag="config"):
-    """A version of the configuration, passed on within a zone.
+    """A version of the configuration, forwarded within a zone.
 
     Attributes
     ----------
     body : bytes
-        What lies in its object, as deflated MessagePack.
+        Content of the object in the store, as deflated MessagePack.
     """
 
     version: int
@@ -90,15 +90,15 @@
 
 
 class PeerCrashes(msgspec.Struct, array_like=True, tag="crashes"):
-    """What a host knows of requests under which targets ended."""
+    """A host's records of requests under which targets crashed."""
 
     host_id: str
     zone: str
     reports: list[CrashReport]
 
 
-class PeerSum(msgspec.Struct, array_like=True, tag="sum"):
-    """The work of all hosts of a zone, and their use of links, as ``age_s`` ago."""
+class PeerZoneTotal(msgspec.Struct, array_like=True, tag="sum"):
+    """The work of all hosts of a zone and their use of links, ``age_s`` ago."""
 
     zone: str
     age_s: float
@@ -108,30 +108,31 @@
 
 
 class PeerStatus(msgspec.Struct, array_like=True, tag="status"):
-    """One host's state, whole.
+    """The complete state of one host.
 
     Attributes
     ----------
     sent_at : float
-        Reading of the sender's clock; only the sender itself reads it again.
+        Reading of the sender's clock; only the sender interprets it, in echoes.
     config_age_s : float
         Seconds since the sender's configuration was confirmed; negative before.
     store_silent_s : float
-        Seconds since the sender had an answer of the store; negative before.
+        Seconds since the store last answered the sender; negative before.
     watches : bool
         The sender follows the store for its zone.
     targets_digest : int
-        What hosts with the same list of targets share.
+        Digest that is equal for hosts with the same list of targets.
     targets_age_s : float
         Seconds since the sender's list was confirmed; negative before.
-    passed_duties : list of str
-        Duties that the sender has just heard of from their holders.
+    forwarded_duties : list of str
+        Duties that the sender recently received from their holders.
     answered : list of tuple
-        Targets that the sender had left out, and that have answered it.
+        Targets that the sender had excluded and that have since answered it.
     paces : list of Pace
-        Targets that are slow, or were until just now.
+        Targets that are slow, or were until recently.
     crashes_checksum : int
-        What hosts share that know of the same targets' ends under requests.
+        Checksum that is equal for hosts with the same records of target crashes
+        under requests.
     """
 
     host_id: str
@@ -151,7 +152,7 @@
     watches: bool = False
     targets_digest: int = 0
     targets_age_s: float = -1.0
-    passed_duties: list[str] = []
+    forwarded_duties: list[str] = []
     answered: list[tuple[str, int]] = []
     paces: list[Pace] = []
     crashes_checksum: int = 0
@@ -159,19 +160,19 @@
 
 encoder = msgspec.msgpack.Encoder()
 decoder = msgspec.msgpack.Decoder(
-    PeerStatus | PeerNews | PeerConfig | PeerSum | PeerCrashes
+    PeerStatus | PeerTargetUpdates | PeerConfig | PeerZoneTotal | PeerCrashes
 )
 
 
 def config_datagram(version: int, revision: int, spec: object) -> bytes | None:
-    """Return a configuration as a datagram, or None where it does not fit one.
+    """Return a configuration as a datagram, or None if it can't be sent as one.
 
-    Hosts that are not told read it from the store.
+    Hosts that do not receive it read it from the store.
     """
     try:
         body = zlib.compress(encoder.encode(spec))
     except (OverflowError, ValueError) as problem:
-        # JSON has longer numbers than MessagePack.
+        # JSON allows larger numbers than MessagePack.
         log_event("config.unsendable", version=version, detail=str(problem))
         return None
     if len(body) > NEWS_BYTES:
@@ -181,39 +182,39 @@
 
 
 def config_spec(message: PeerConfig) -> object:
-    """Return what lies in a configuration's object; raise `ValueError` if damaged."""
+    """Return the content of a configuration; raise `ValueError` if it is damaged."""
     inflater = zlib.decompressobj()
     try:
-        text = inflater.decompress(message.body, MOST_CONFIG_BYTES)
+        text = inflater.decompress(message.body, MAX_CONFIG_BYTES)
     except zlib.error as problem:
         raise ValueError(str(problem)) from problem
     if not inflater.eof:
-        raise ValueError("a configuration that is cut off or too long")
+        raise ValueError("configuration is truncated or too long")
     return msgspec.msgpack.decode(text)
 
 
-def news_datagrams(items: list[TargetNews]) -> Iterator[bytes]:
-    """Return news in datagrams, none of them too long to be received.
+def update_datagrams(items: list[TargetUpdate]) -> Iterator[bytes]:
+    """Yield updates in datagrams, none of them too long to be received.
 
-    What does not fit one by itself is left out: hosts that lack it notice that
-    their lists differ, and read the store.
+    An update that does not fit a datagram by itself is left out.  Hosts that lack it
+    notice that their lists differ and read the store.
     """
-    chunk: list[TargetNews] = []
+    chunk: list[TargetUpdate] = []
     size = 0
     for item in items:
         try:
             length = len(encoder.encode(item))
         except (OverflowError, ValueError) as problem:
-            # Entries may have other writers, and JSON has longer numbers.
+            # Entries may have other writers, and JSON allows larger numbers.
             log_event("news.unsendable", target=item.target_id, detail=str(problem))
             continue
         if length > NEWS_BYTES:
             log_event("news.too_long", target=item.target_id, bytes=length)
             continue
         if size + length > NEWS_BYTES:
-            yield encoder.encode(PeerNews(chunk))
+            yield encoder.encode(PeerTargetUpdates(chunk))
             chunk, size = [], 0
         chunk.append(item)
         size += length
     if chunk:
-        yield encoder.encode(PeerNews(chunk))
+        yield encoder.encode(PeerTargetUpdates(chunk))
--- a/radishfield/forwarding/_peers.py
+++ b/radishfield/forwarding/_peers.py
@@ -1,4 +1,4 @@
-"""The other entry hosts that this one knows, and which of them it talks to."""
+"""The other entry hosts, and the choice of those that receive a status."""
 
 import math
 import random
@@ -8,32 +8,32 @@
 from radishfield.routing import WATCHERS_PER_ZONE, ZoneHost
 
 REMOTE_ZONE_EVERY = 4
-"""Other zones hear each fourth status: their work rarely meets this zone's, and
-bytes between zones are paid for."""
+"""Other zones receive every fourth status: they rarely use the same targets as this
+zone, and traffic between zones is paid for."""
 SILENT_EVERY = 8
-"""Hosts of the zone that have fallen silent hear each eighth status."""
+"""Hosts of the zone that no longer send receive every eighth status."""
 ZONE_FANOUT = 12
-"""Hosts of the own zone that hear a status, each in its turn where there are more:
-a host's part of the load shrinks as the hosts grow, and so does what its status is
-worth."""
+"""Maximum number of hosts of the own zone that receive a status, in turn if there are
+more.  With more hosts each has a smaller share of the load, so its status matters
+less."""
 REMOTE_ZONE_FANOUT = 6
-"""Hosts of other zones that hear a status, drawn at random: with many hosts the
-bytes between zones must not grow with their square."""
+"""Hosts of other zones that receive a status, drawn at random: traffic between zones
+must not grow with the square of the number of hosts."""
 ALIVE_S = 2.5
 COUNTED_S = 30.0
-"""Time for which a host that has fallen silent is still counted among those that
-share allowances: longer than cuts last, after which both sides spend again."""
+"""Time for which a host that no longer sends still counts among those that share retry
+budgets.  It is longer than partitions last, after which both sides spend again."""
 
 
 class Peer(msgspec.Struct):
-    """Another host, as last heard.
+    """Another host, as of its last status.
 
     Attributes
     ----------
     sent_at : float
         Reading of its own clock in its last status.
     store_silent_s : float
-        Seconds since it had an answer of the store, by its last status.
+        Seconds since the store last answered it, by its last status.
     watches : bool
         It follows the store for its zone.
     """
@@ -41,39 +41,39 @@
     address: tuple[str, int]
     zone: str
     found_at: float
-    heard_at: float = -1e9
+    received_at: float = -1e9
     sent_at: float = 0.0
     store_silent_s: float = math.inf
     watches: bool = False
 
     def is_alive(self, now: float) -> bool:
-        """Return whether it was heard lately."""
-        return now - self.heard_at < ALIVE_S
+        """Return whether a status was received from it recently."""
+        return now - self.received_at < ALIVE_S
 
     def is_present(self, now: float) -> bool:
-        """Return whether it lives, or was found too lately to be heard.
+        """Return whether it is alive, or was found too recently to have sent a status.
 
-        Hosts that start together would else be strangers, who get every eighth
-        status and no news, for their first two seconds.
+        Otherwise hosts that start together would get only every eighth status and
+        no updates from each other in their first two seconds.
         """
-        return now - max(self.heard_at, self.found_at) < ALIVE_S
+        return now - max(self.received_at, self.found_at) < ALIVE_S
 
     def silent_s(self, now: float) -> float:
-        """Return since when it has had no answer of the store, at the most."""
-        return self.store_silent_s + now - self.heard_at
+        """Return the maximum time since the store last answered it."""
+        return self.store_silent_s + now - self.received_at
 
 
 class PeerBook:
     """All other hosts, by id."""
 
-    __slots__ = ("_chance", "_zone", "peer_by_id")
+    __slots__ = ("_rng", "_zone", "peer_by_id")
 
-    def __init__(self, zone: str, chance: random.Random):
+    def __init__(self, zone: str, rng: random.Random):
         self._zone = zone
-        self._chance = chance
+        self._rng = rng
         self.peer_by_id: dict[str, Peer] = {}
 
-    def near(self) -> dict[str, Peer]:
+    def own_zone_peers(self) -> dict[str, Peer]:
         """Return the hosts of the own zone, by id."""
         return {
             host_id: peer
@@ -82,11 +82,11 @@
         }
 
     def present_near(self, now: float) -> list[Peer]:
-        """Return the hosts of the own zone that hear news."""
-        return [peer for peer in self.near().values() if peer.is_present(now)]
+        """Return the hosts of the own zone that receive updates."""
+        return [peer for peer in self.own_zone_peers().values() if peer.is_present(now)]
 
     def alive(self, now: float) -> dict[str, Peer]:
-        """Return the hosts that were heard lately, by id."""
+        """Return the hosts that sent a status recently, by id."""
         return {
             host_id: peer
             for host_id, peer in self.peer_by_id.items()
@@ -97,58 +97,66 @@
         """Return the hosts that share the duty of following the store."""
         return [
             ZoneHost(host_id, peer.watches, peer.silent_s(now))
-            for host_id, peer in self.near().items()
+            for host_id, peer in self.own_zone_peers().items()
             if peer.is_present(now)
         ]
 
     def far_watchers(self) -> list[Peer]:
-        """Return the hosts of other zones that follow the store, or likely do."""
-        far = {
+        """Return the hosts of other zones that follow the store or probably do."""
+        remote = {
             host_id: peer
             for host_id, peer in self.peer_by_id.items()
             if peer.zone != self._zone
         }
         ids_by_zone: dict[str, list[str]] = {}
-        for host_id, peer in far.items():
+        for host_id, peer in remote.items():
             ids_by_zone.setdefault(peer.zone, []).append(host_id)
-        likely = {
+        likely_ids = {
             host_id
             for ids in ids_by_zone.values()
             for host_id in sorted(ids)[:WATCHERS_PER_ZONE]
         }
         return [
-            peer for host_id, peer in far.items() if peer.watches or host_id in likely
+            peer
+            for host_id, peer in remote.items()
+            if peer.watches or host_id in likely_ids
         ]
 
     def recipients(self, number: int, now: float, has_duties: bool) -> list[Peer]:
-        """Return who hears a status, by its number.
+        """Return the recipients of the status with a given number.
 
         Parameters
         ----------
         has_duties : bool
-            This host places layers: every host that sees an empty target would ask
-            the store who does, so those that pass it on hear it soon.
+            This host places layers.  Each host that sees an empty target would
+            otherwise ask the store which host does, so the hosts that forward
+            duties get every status.
         """
-        near = [
+        own_zone = [
             peer
-            for peer in self.near().values()
+            for peer in self.own_zone_peers().values()
             if peer.is_present(now) or number % SILENT_EVERY == 0
         ]
-        if len(near) > ZONE_FANOUT:
-            start = number * ZONE_FANOUT % len(near)
-            in_turn = near[start:] + near[:start]
-            # A watcher's word counts from when it heard this host, so it always does.
-            near = in_turn[:ZONE_FANOUT] + [
-                peer for peer in in_turn[ZONE_FANOUT:] if peer.watches
+        if len(own_zone) > ZONE_FANOUT:
+            start = number * ZONE_FANOUT % len(own_zone)
+            rotated = own_zone[start:] + own_zone[:start]
+            # A watcher's confirmation counts from the status of this host that it
+            # received last, so watchers receive every status.
+            own_zone = rotated[:ZONE_FANOUT] + [
+                peer for peer in rotated[ZONE_FANOUT:] if peer.watches
             ]
         if number % REMOTE_ZONE_EVERY == 0:
-            far = [peer for peer in self.peer_by_id.values() if peer.zone != self._zone]
-            return near + self._chance.sample(far, min(REMOTE_ZONE_FANOUT, len(far)))
-        return near + self.far_watchers() if has_duties else near
+            remote = [
+                peer for peer in self.peer_by_id.values() if peer.zone != self._zone
+            ]
+            return own_zone + self._rng.sample(
+                remote, min(REMOTE_ZONE_FANOUT, len(remote))
+            )
+        return own_zone + self.far_watchers() if has_duties else own_zone
 
-    def counted(self, now: float) -> int:
-        """Return how many hosts share allowances, this one included."""
+    def count_hosts(self, now: float) -> int:
+        """Return the number of hosts that share retry budgets, this one included."""
         return 1 + sum(
-            now - max(peer.heard_at, peer.found_at) < COUNTED_S
+            now - max(peer.received_at, peer.found_at) < COUNTED_S
             for peer in self.peer_by_id.values()
         )
--- a/radishfield/forwarding/_view.py
+++ b/radishfield/forwarding/_view.py
@@ -1,4 +1,4 @@
-"""What this host believes at the moment: configuration, targets, load, peers."""
+"""The current state known to this host: configuration, targets, load, peers."""
 
 import itertools
 import math
@@ -12,7 +12,7 @@
 from radishfield.core import Clock, Fault
 from radishfield.crashes import CrashGuard
 from radishfield.forwarding._call import Call
-from radishfield.forwarding._peer_messages import PeerConfig, TargetNews
+from radishfield.forwarding._peer_messages import PeerConfig, TargetUpdate
 from radishfield.limits import RetryAllowance, RetryBudget, RetryUse
 from radishfield.platform import StoredValue
 from radishfield.routing import (
@@ -46,41 +46,41 @@
 
 Item = TypeVar("Item")
 
-UNSEEN_SHARE = 0.25
-"""Part of the hosts that are taken to have just started a stream where nothing is
-known yet: right after a start all of them would choose the same path."""
+UNREPORTED_SHARE = 0.25
+"""Fraction of the hosts that are assumed to have just started a stream if nothing is
+known yet.  Otherwise all hosts would choose the same path right after a start."""
 
-BLIND_S = 2.0
-"""Time after a start in which a host may know nothing of others: until it serves, and
-until their statuses and sums have come."""
-BLIND_STREAMS = 0.5
-"""Streams for each host, below which known work says nothing: a fleet under load runs
-two and more."""
+STARTUP_S = 2.0
+"""Time after a start in which a host may lack the state of others: until it serves and
+their statuses and zone totals have arrived."""
+MIN_STREAMS_PER_HOST = 0.5
+"""Known streams for each host below which the known work is not meaningful: a fleet
+under load runs two or more."""
 
 FULL_S = 0.25
-"""Time after which a target that was full may have room again: a request of usual
-size ends at a busy target every few hundredths of a second."""
+"""Time after which a full target may have free capacity again: at a busy target a
+request of typical size ends every few hundredths of a second."""
 LONGEST_FULL_S = 1.0
 
 
 class FullTarget(msgspec.Struct, frozen=True):
-    """Until when a target is left out, and for how long that is."""
+    """Time until which a target is excluded, and the length of the exclusion."""
 
     until: float
     length_s: float
 
 
 class PeerView(msgspec.Struct):
-    """What is known of the other hosts at the moment.
+    """The current state known of the other hosts.
 
     Attributes
     ----------
     heard : int
-        Hosts that were heard lately.
+        Hosts that sent a status recently.
     freshest_s : float
-        How long ago one of them had an answer of the store, at the least.
+        Seconds since the store answered one of them, the shortest such time.
     ever_heard : bool
-        Some host has been heard since the start.
+        Some host has sent a status since the start.
     """
 
     heard: int = 0
@@ -91,15 +91,15 @@
     )
 
 
-class ConfigNews(msgspec.Struct, frozen=True):
+class ConfigUpdate(msgspec.Struct, frozen=True):
     """A version of the configuration as the store holds it."""
 
     version: int
     value: StoredValue
 
 
-class NewsBox(Generic[Item]):
-    """What the store told since the other hosts of the zone were told last."""
+class UpdateBuffer(Generic[Item]):
+    """Collects updates until they are sent to other hosts."""
 
     __slots__ = ("_came", "_items")
 
@@ -108,58 +108,59 @@
         self._came = trio.Event()
 
     def add(self, item: Item) -> None:
-        """Put in what is to be told."""
+        """Add an update to be sent."""
         self._items.append(item)
         self._came.set()
 
     async def wait(self) -> None:
-        """Wait until there is something to tell."""
+        """Wait until there is an update to send."""
         await self._came.wait()
 
     def take(self) -> list[Item]:
-        """Take all of it out."""
+        """Remove and return all updates."""
         items, self._items = self._items, []
         self._came = trio.Event()
         return items
 
 
 class RouterView(msgspec.Struct):
-    """Shared by all services of the process; only the followers and peers write it.
+    """State shared by all services; only the followers and the gossip write it.
 
     Attributes
     ----------
     started_at : float or None
-        When the process started; None where that does not matter.
+        When the process started; None if that does not matter.
     hosts : int
-        Entry hosts that share the fleet's allowances, this one included; counts
-        hosts that are cut off too, since they go on spending.
+        Entry hosts that share the fleet's retry budgets, this one included; also
+        counts partitioned hosts, since they go on spending.
     peers : PeerView
-        What the hosts that were heard lately say.
+        State reported by the hosts that sent a status recently.
     full_by_id : dict
-        Targets that refused work for want of room, left out for a moment.
-    news, config_news : NewsBox
-        What is to be told to the other hosts of the zone: of targets, and of the
-        configuration.
+        Targets excluded for a short time since they refused work for lack of
+        capacity.
+    target_updates, config_updates : UpdateBuffer
+        Updates of targets and of the configuration to be sent to the other hosts of
+        the zone.
     crashes : CrashGuard
-        Requests under which targets ended.
-    crash_news : NewsBox
-        Digests of those of which the other hosts are to be told.
+        Records of requests under which targets crashed.
+    crash_news : UpdateBuffer
+        Digests of the requests whose crashes are to be reported to other hosts.
     config_reads : int
         Answers of the store that held the configuration.
     streams_cut : int
-        Streams whose callers had some events and not the last one.
+        Streams whose callers received some events but not the last one.
     targets_confirmed_at : float
-        When the store was last asked for the targets, of the calls it answered.
-    hear_news, hear_config : callable
-        Take what another host passes on of targets, and of the configuration.
+        When the last answered call to the store for the targets was sent.
+    on_target_updates, on_config : callable
+        Apply updates of targets and of the configuration from another host.
     duty_reported_at : dict
-        When another host last said that it holds a service's placement.
+        When a service's placement was last reported as held by another host.
     room_freed : trio.Event
-        Set, and replaced, whenever waiting requests should look again.
+        Set, and replaced, whenever waiting requests should check for paths again.
     store_back : trio.Event
-        Set, and replaced, when there is a sign that the store is reached again.
+        Set, and replaced, on a sign that the store can be reached again.
     followers_woken : trio.Event
-        Set, and replaced, when followers should look whether to ask the store.
+        Set, and replaced, when followers should check whether to read the store.
     """
 
     zone: str
@@ -184,15 +185,19 @@
     followers_woken: trio.Event = msgspec.field(default_factory=trio.Event)
     peers: PeerView = msgspec.field(default_factory=PeerView)
     watch_duty: WatchDuty = msgspec.field(default_factory=WatchDuty)
-    news: NewsBox[TargetNews] = msgspec.field(default_factory=NewsBox)
-    config_news: NewsBox[ConfigNews] = msgspec.field(default_factory=NewsBox)
+    target_updates: UpdateBuffer[TargetUpdate] = msgspec.field(
+        default_factory=UpdateBuffer
+    )
+    config_updates: UpdateBuffer[ConfigUpdate] = msgspec.field(
+        default_factory=UpdateBuffer
+    )
     host_id: str = ""
     crashes: CrashGuard | None = None
-    crash_news: NewsBox[str] = msgspec.field(default_factory=NewsBox)
+    crash_news: UpdateBuffer[str] = msgspec.field(default_factory=UpdateBuffer)
     config_reads: int = 0
     targets_confirmed_at: float = -math.inf
-    hear_news: Callable[[list[TargetNews]], None] = lambda items: None
-    hear_config: Callable[[PeerConfig], None] = lambda message: None
+    on_target_updates: Callable[[list[TargetUpdate]], None] = lambda items: None
+    on_config: Callable[[PeerConfig], None] = lambda message: None
     full_by_id: dict[str, FullTarget] = msgspec.field(default_factory=dict)
     duty_reported_at: dict[str, float] = msgspec.field(default_factory=dict)
     _queue_by_service: dict[str, AdmissionQueue] = msgspec.field(default_factory=dict)
@@ -208,12 +213,12 @@
         """Return whether this host was told to leave."""
         return self.leaving_since is not None
 
-    def takes_work(self, longest_s: float) -> bool:
-        """Return whether a request that may take so long is still taken."""
-        return takes_work(self._leaving_for_s(), self.grace_s, longest_s)
+    def takes_work(self, max_duration_s: float) -> bool:
+        """Return whether a request of up to this duration is still accepted."""
+        return takes_work(self._leaving_for_s(), self.grace_s, max_duration_s)
 
     def ends_waits(self) -> bool:
-        """Return whether requests that wait here are refused now."""
+        """Return whether waiting requests are refused, since the host ends soon."""
         return ends_waits(self._leaving_for_s(), self.grace_s)
 
     def _leaving_for_s(self) -> float | None:
@@ -226,7 +231,7 @@
         now, peers = self.clock.now(), self.peers
         since = self.watch_duty.reading_since
         if since is None:
-            # Others tell this host all it has to know; it asks the store nothing.
+            # This host gets all updates from others and sends the store no calls.
             return False
         return sends_callers_away(
             min(self.freshness.failing_s(now), now - since),
@@ -237,28 +242,28 @@
         )
 
     def take_repeat(self, service: str) -> bool:
-        """Take one repeat out of the allowance that all hosts share."""
-        others = self._uses_told(service)
+        """Take one retry out of the budget that all hosts share."""
+        others = self._reported_uses(service)
         return self.budget(service).take(self.clock.now(), self.hosts, others)
 
     def repeats_left(self, service: str) -> float:
-        """Return the repeats that are left for all hosts together."""
-        others = self._uses_told(service)
+        """Return the retries that are left for all hosts together."""
+        others = self._reported_uses(service)
         return self.budget(service).left(self.clock.now(), self.hosts, others)
 
-    def _uses_told(self, service: str) -> list[RetryUse]:
-        """Return what each host that is heard used of a service's allowance."""
+    def _reported_uses(self, service: str) -> list[RetryUse]:
+        """Return the use of a service's retry budget reported by each live host."""
         return [
             by_service.get(service, RetryUse())
             for by_service in self.peers.use_by_service_by_host.values()
         ]
 
     def admission_queue(self, service: str) -> AdmissionQueue:
-        """Return the line of those that wait for one of a service's paths."""
+        """Return the queue of requests that wait for one of a service's paths."""
         return self._queue_by_service.setdefault(service, AdmissionQueue())
 
     def retry_use(self) -> dict[str, RetryUse]:
-        """Return what this host used of each service's allowance."""
+        """Return this host's use of each service's retry budget."""
         now = self.clock.now()
         return {
             service: budget.use(now)
@@ -266,7 +271,7 @@
         }
 
     def mark_full(self, target_id: str) -> None:
-        """Leave a target out for a moment, for longer each time in a row."""
+        """Exclude a target for a short time, longer each time in a row."""
         now = self.clock.now()
         before = self.full_by_id.get(target_id)
         length_s = FULL_S
@@ -275,7 +280,7 @@
         self.full_by_id[target_id] = FullTarget(now + length_s, length_s)
 
     def usable_with_room(self, service: str) -> list[TargetRecord]:
-        """Return the targets that may be sent work and did not just refuse some."""
+        """Return the usable targets that did not refuse work just now."""
         now = self.clock.now()
         return [
             record
@@ -290,12 +295,12 @@
     def path_finder(
         self, service: str, engine: EngineSpec, movers: int = 0
     ) -> PathFinder:
-        """Return a finder of paths over the load and the links as they are now.
+        """Return a finder of paths for the current load and links.
 
         Parameters
         ----------
         movers : int
-            Streams that look for another path at the same moment, at all hosts.
+            Streams at all hosts that look for another path at the same moment.
         """
         shares = self.links.shares(self.clock.now(), self.zone)
         closed = self.links.full(shares)
@@ -303,38 +308,38 @@
             if not self._may_cross(engine, pair, shares.get(pair, 0.0), movers):
                 closed.add(pair)
         spread = BLIND_SPREAD
-        if not self._is_blind():
-            spread = choice_spread(self._unseen_starts(service) + movers)
+        if not self._lacks_remote_state():
+            spread = choice_spread(self._unreported_starts(service) + movers)
         return PathFinder(
             engine, self.load, self.zone, shares, closed, spread, self.chance
         )
 
-    def _is_blind(self) -> bool:
-        """Return whether this host has just started and knows no work of others."""
-        if self.started_at is None or self.clock.now() - self.started_at >= BLIND_S:
+    def _lacks_remote_state(self) -> bool:
+        """Return whether this host just started and has no reports of others' work."""
+        if self.started_at is None or self.clock.now() - self.started_at >= STARTUP_S:
             return False
-        return self.load.streams() < self.hosts * BLIND_STREAMS
+        return self.load.streams() < self.hosts * MIN_STREAMS_PER_HOST
 
-    def _unseen_starts(self, service: str) -> float:
-        """Return how many streams all hosts have started that are not told yet."""
-        usual_s = self.admission_queue(service).usual_stream_s
-        by_work = self.load.streams() / usual_s * UNSEEN_S
-        return max(by_work, self.hosts * UNSEEN_SHARE)
+    def _unreported_starts(self, service: str) -> float:
+        """Return the number of streams at all hosts that are not reported yet."""
+        typical_s = self.admission_queue(service).usual_stream_s
+        by_work = self.load.streams() / typical_s * UNSEEN_S
+        return max(by_work, self.hosts * UNREPORTED_SHARE)
 
     def _may_cross(
         self, engine: EngineSpec, pair: Pair, share: float, movers: int
     ) -> bool:
-        room = room_prompts(share, engine.transfer_ms(engine.usual_prompt))
+        capacity = room_prompts(share, engine.transfer_ms(engine.usual_prompt))
         if movers:
-            return draw(room, movers, self.chance)
+            return draw(capacity, movers, self.chance)
         now = self.clock.now()
-        own = self.links.own_crossings(pair, now - TELL_S)
+        own_crossings = self.links.own_crossings(pair, now - TELL_S)
         waiting = sum(len(queue) for queue in self._queue_by_service.values())
-        contenders = self.hosts * (own + waiting)
-        return self.gate.is_open(pair, room, contenders, now, self.chance)
+        contenders = self.hosts * (own_crossings + waiting)
+        return self.gate.is_open(pair, capacity, contenders, now, self.chance)
 
     def _pairs(self) -> set[Pair]:
-        """Return the links between the zones in which there are targets."""
+        """Return the links between all zones that hold targets."""
         zones = sorted({record.zone for record in self.directory.all_records()})
         return {
             pair_of(zone, other) for zone, other in itertools.combinations(zones, 2)
@@ -343,7 +348,7 @@
     def note_crossings(self, engine: EngineSpec, path: Path, tokens: int) -> None:
         """Count a prompt on every link that its path crosses."""
         now = self.clock.now()
-        zones = [self._zone_of(part.target_id) for part in path]
+        zones = [self._zone_of(stage.target_id) for stage in path]
         for zone, other in itertools.pairwise(zones):
             if zone != other:
                 pair = pair_of(zone, other)
@@ -355,7 +360,7 @@
         return record.zone if record else self.zone
 
     def budget(self, service: str) -> RetryBudget:
-        """Return the service's allowance of repeats."""
+        """Return the service's retry budget."""
         budget = self._budget_by_service.get(service)
         if budget is None:
             budget = self._budget_by_service[service] = RetryBudget(self.allowance)
@@ -366,24 +371,24 @@
         shares = route.shares
         share = shares[0]
         if len(shares) > 1:
-            weights = [part.weight for part in shares]
+            weights = [candidate.weight for candidate in shares]
             share = self.chance.choices(shares, weights)[0]
         known = self.table.config.service_by_name.get(share.service)
         return known or ServiceSpec(share.service, "", 100)
 
     def crash_refusal(self, call: Call) -> Fault | None:
-        """Return why a call is sent to no further target for those that ended."""
+        """Return the fault if crashes rule out another target for a call."""
         return self.crashes.refusal(
             call.digest, call.facts.request_id, call.may_have_run
         )
 
-    def note_store_back(self) -> None:
-        """End the pauses of whoever waits for the store."""
+    def notify_store_back(self) -> None:
+        """End the pauses of the followers that wait for the store."""
         event, self.store_back = self.store_back, trio.Event()
         event.set()
 
     def wake_followers(self) -> None:
-        """Have the followers look at once whether they have to ask the store."""
+        """Have the followers check at once whether they have to read the store."""
         event, self.followers_woken = self.followers_woken, trio.Event()
         event.set()
 
--- a/radishfield/forwarding/datagrams_test.py
+++ b/radishfield/forwarding/datagrams_test.py
@@ -5,7 +5,7 @@
 import pytest
 import trio
 
-from radishfield.forwarding._datagrams import MOST_AT_ONCE, DatagramSocket
+from radishfield.forwarding._datagrams import MAX_DATAGRAMS, DatagramSocket
 
 LIMIT = 2048
 
@@ -41,7 +41,7 @@
     async def scene():
         receiver, address = open_receiver()
         with receiver:
-            for _ in range(MOST_AT_ONCE + 10):
+            for _ in range(MAX_DATAGRAMS + 10):
                 sender.sendto(b"x", address)
             with trio.fail_after(2):
                 first = await receiver.receive()
@@ -49,7 +49,7 @@
             return len(first), len(second)
 
     first, second = trio.run(scene)
-    assert first == MOST_AT_ONCE
+    assert first == MAX_DATAGRAMS
     assert second == 10
 
 
--- a/radishfield/forwarding/gossip_test.py
+++ b/radishfield/forwarding/gossip_test.py
@@ -7,7 +7,7 @@
     DATAGRAM_BYTES,
     Echo,
     PeerStatus,
-    PeerSum,
+    PeerZoneTotal,
     Use,
     Work,
     decoder,
@@ -68,7 +68,7 @@
 
 
 def take(gossip, message):
-    gossip._take(message, ("127.0.0.1", 2))
+    gossip._apply_status(message, ("127.0.0.1", 2))
 
 
 def test_a_neighbours_word_counts_from_this_hosts_own_question(gossip):
@@ -119,34 +119,34 @@
 
 def test_a_neighbour_that_falls_silent_is_forgotten_but_still_counted(gossip):
     take(gossip, status(uses=[Use("s", 40, 2)]))
-    gossip._sum_up()
+    gossip._update_peer_summary()
     assert gossip._view.peers.heard == 1
     gossip._view.clock.reading = 120.0
-    gossip._sum_up()
+    gossip._update_peer_summary()
     assert (gossip._view.peers.heard, gossip._view.hosts) == (0, 2)
     assert gossip._view.peers.use_by_service_by_host == {}
     gossip._view.clock.reading = 150.0
-    gossip._sum_up()
+    gossip._update_peer_summary()
     assert gossip._view.hosts == 1
 
 
 def test_a_zones_sum_counts_from_when_it_was_made(gossip):
-    gossip._take_sum(PeerSum("a", 0.4, [Work("t1", 30, 9000, 4)]))
+    gossip._apply_zone_total(PeerZoneTotal("a", 0.4, [Work("t1", 30, 9000, 4)]))
     gossip._view.load.add_up("a", 110.0)
     assert gossip._view.load.held("t1").requests == 30
-    gossip._take_sum(PeerSum("a", 0.5, [Work("t1", 1, 1, 0)]))
+    gossip._apply_zone_total(PeerZoneTotal("a", 0.5, [Work("t1", 1, 1, 0)]))
     gossip._view.load.add_up("a", 110.0)
     assert gossip._view.load.held("t1").requests == 30
 
 
 def test_a_duty_is_passed_on_from_its_holder_only(gossip):
     """Passed on by those who heard it from each other it would never end."""
-    take(gossip, status(duties=["s"], passed_duties=["t"]))
+    take(gossip, status(duties=["s"], forwarded_duties=["t"]))
     assert set(gossip._view.duty_reported_at) == {"s", "t"}
     told = decoder.decode(gossip._status())
-    assert told.passed_duties == ["s"]
+    assert told.forwarded_duties == ["s"]
     gossip._view.clock.reading = 112.0
-    assert decoder.decode(gossip._status()).passed_duties == []
+    assert decoder.decode(gossip._status()).forwarded_duties == []
 
 
 def test_a_word_that_waited_while_this_host_slept_proves_nothing(gossip):
@@ -171,7 +171,7 @@
     for number in range(340):
         gossip._view.clock.reading = 110.0 + number * 0.001
         message = status(host_id=f"edge-duluth-hall-{number}")
-        gossip._take(message, ("127.0.0.1", number))
+        gossip._apply_status(message, ("127.0.0.1", number))
     data = gossip._status()
     assert len(data) < DATAGRAM_BYTES / 1.5
     echoes = {echo.host_id for echo in decoder.decode(data).echoes}
--- a/radishfield/forwarding/peer_messages_test.py
+++ b/radishfield/forwarding/peer_messages_test.py
@@ -7,7 +7,7 @@
 
 from radishfield.forwarding._peer_messages import (
     DATAGRAM_BYTES,
-    MOST_CONFIG_BYTES,
+    MAX_CONFIG_BYTES,
     PeerConfig,
     config_datagram,
     config_spec,
@@ -36,7 +36,7 @@
     [
         b"no deflated text",
         zlib.compress(b"x" * 100)[:-5],
-        zlib.compress(b"\x00" * (MOST_CONFIG_BYTES + 1)),
+        zlib.compress(b"\x00" * (MAX_CONFIG_BYTES + 1)),
         zlib.compress(b"\xc1"),
     ],
 )
--- a/radishfield/forwarding/view_test.py
+++ b/radishfield/forwarding/view_test.py
@@ -28,4 +28,4 @@
     for number in range(streams):
         view.load.started(f"t{number}", 100.0, first=True)
     clock.reading += age_s
-    assert view._is_blind() is blind
+    assert view._lacks_remote_state() is blind
--- a/radishfield/forwarding/zone_test.py
+++ b/radishfield/forwarding/zone_test.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from radishfield.forwarding._peer_messages import TargetNews
+from radishfield.forwarding._peer_messages import TargetUpdate
 from radishfield.forwarding.conftest import world
 from radishfield.routing import WATCHERS_PER_ZONE
 from standins.routed_config import KEY, config, target_entry
@@ -149,8 +149,8 @@
         revision = played.store.revision
         played.store.remove("servers", "p2")
         await played.until(lambda: "p2" not in listed(told), BOUND_S)
-        late = TargetNews("p2", revision, target_entry("portal", "10.9.9.9:80"))
-        told.view.hear_news([late])
+        late = TargetUpdate("p2", revision, target_entry("portal", "10.9.9.9:80"))
+        told.view.on_target_updates([late])
         assert "p2" not in listed(told)
 
     play(tmp_path, scene)
