--- a/radishfield/forwarding/_gossip.py
+++ b/radishfield/forwarding/_gossip.py
@@ -314,8 +314,8 @@
                     self._view.on_config(message)
                 case PeerCrashes() as message:
                     self._crashes.hear(message)
-                case PeerZoneTotal() as message:
-                    self._apply_zone_total(message)
+                case PeerZoneTotal() as total:
+                    self._apply_zone_total(total)
                 case PeerStatus() as status:
                     self._apply_status(status, split_peer_address(status.address))
         except (msgspec.DecodeError, ValueError):
--- a/radishfield/forwarding/_view.py
+++ b/radishfield/forwarding/_view.py
@@ -293,23 +293,23 @@
         return full is not None and now < full.until
 
     def path_finder(
-        self, service: str, engine: EngineSpec, movers: int = 0
+        self, service: str, engine: EngineSpec, moving_streams: int = 0
     ) -> PathFinder:
         """Return a finder of paths for the current load and links.
 
         Parameters
         ----------
-        movers : int
+        moving_streams : int
             Streams at all hosts that look for another path at the same moment.
         """
         shares = self.links.shares(self.clock.now(), self.zone)
         closed = self.links.full(shares)
         for pair in self._pairs() - closed:
-            if not self._may_cross(engine, pair, shares.get(pair, 0.0), movers):
+            if not self._may_cross(engine, pair, shares.get(pair, 0.0), moving_streams):
                 closed.add(pair)
         spread = BLIND_SPREAD
         if not self._lacks_remote_state():
-            spread = choice_spread(self._unreported_starts(service) + movers)
+            spread = choice_spread(self._unreported_starts(service) + moving_streams)
         return PathFinder(
             engine, self.load, self.zone, shares, closed, spread, self.chance
         )
@@ -327,11 +327,11 @@
         return max(by_work, self.hosts * UNREPORTED_SHARE)
 
     def _may_cross(
-        self, engine: EngineSpec, pair: Pair, share: float, movers: int
+        self, engine: EngineSpec, pair: Pair, share: float, moving_streams: int
     ) -> bool:
         capacity = room_prompts(share, engine.transfer_ms(engine.usual_prompt))
-        if movers:
-            return draw(capacity, movers, self.chance)
+        if moving_streams:
+            return draw(capacity, moving_streams, self.chance)
         now = self.clock.now()
         own_crossings = self.links.own_crossings(pair, now - TELL_S)
         waiting = sum(len(queue) for queue in self._queue_by_service.values())
--- a/radishfield/forwarding/datagrams_test.py
+++ b/radishfield/forwarding/datagrams_test.py
@@ -1,4 +1,4 @@
-"""How the socket between hosts handles many datagrams."""
+"""Tests of the socket between entry hosts."""
 
 import socket
 
@@ -18,15 +18,15 @@
 
 
 def open_receiver():
-    """Return a socket on a port that the kernel picks, and its address."""
+    """Return a socket on a port chosen by the kernel, and its address."""
     receiver = DatagramSocket("127.0.0.1:0", LIMIT)
     return receiver, receiver.address
 
 
-def test_datagrams_of_a_moment_are_read_in_one_turn(sender):
-    # A host hears a hundred datagrams in the same hundredth of a second.  One turn
-    # of the event loop for each would delay callers' events behind all of them.
-    async def scene():
+def test_waiting_datagrams_are_read_in_one_turn(sender):
+    # A host receives a hundred datagrams within 10 ms.  A turn of the event loop for
+    # each of them would delay the events for callers behind all of them.
+    async def scenario():
         receiver, address = open_receiver()
         with receiver:
             for number in range(100):
@@ -34,11 +34,11 @@
             with trio.fail_after(2):
                 return await receiver.receive()
 
-    assert trio.run(scene) == [b"%d" % number for number in range(100)]
+    assert trio.run(scenario) == [b"%d" % number for number in range(100)]
 
 
-def test_row_is_cut_so_that_other_tasks_get_their_turn(sender):
-    async def scene():
+def test_batch_size_is_limited_so_that_other_tasks_run(sender):
+    async def scenario():
         receiver, address = open_receiver()
         with receiver:
             for _ in range(MAX_DATAGRAMS + 10):
@@ -48,19 +48,19 @@
                 second = await receiver.receive()
             return len(first), len(second)
 
-    first, second = trio.run(scene)
+    first, second = trio.run(scenario)
     assert first == MAX_DATAGRAMS
     assert second == 10
 
 
 def test_receiver_waits_for_the_first_datagram():
-    async def scene():
+    async def scenario():
         receiver, _ = open_receiver()
         with receiver, trio.move_on_after(0.1) as waited:
             await receiver.receive()
         return waited.cancelled_caught
 
-    assert trio.run(scene)
+    assert trio.run(scenario)
 
 
 def test_sends_to_all_and_counts_bytes(sender):
@@ -72,8 +72,8 @@
 
 
 def test_full_buffer_drops_and_counts_instead_of_waiting():
-    # The link of a small host is full.  A task that waits for room would hold the
-    # statuses of all other hosts; the next status replaces the one that is lost.
+    # The link of a small host is full.  A task that waits for buffer space would
+    # delay the statuses to all other hosts; the next status replaces a lost one.
     class FullSocket:
         def sendto(self, data, address):
             raise BlockingIOError
--- a/radishfield/forwarding/follower_test.py
+++ b/radishfield/forwarding/follower_test.py
@@ -1,4 +1,4 @@
-"""How the followers of the store come back after an outage, in virtual time."""
+"""Tests of the recovery of the store followers after an outage, in virtual time."""
 
 import trio
 import trio.testing
@@ -21,12 +21,12 @@
 
 BOUND_S = 5.0
 SOON_S = 1.1
-"""The longest pause after a failure, and the failure of a call that just missed the
-store's return."""
+"""The maximum pause after a failure, plus the failure of a call that was sent just
+before the store recovered."""
 
 
 class FailingStore:
-    """A store that is away between two times; watches without changes wait."""
+    """A store that is unavailable between two times; watches without changes wait."""
 
     def __init__(self, lost_at, back_at):
         self.lost_at, self.back_at = lost_at, back_at
@@ -53,19 +53,19 @@
         return Ok(Changes((), revision))
 
     async def fail(self, kind):
-        """Fail slowly, as connections do that nobody answers."""
+        """Fail after a delay, as calls over unanswered connections do."""
         await trio.sleep(0.9 if kind == CONFIG_KIND else 0.05)
         return Error(fault(ResultCode.PLATFORM_UNAVAILABLE))
 
 
 def ages_after_an_outage(back_at):
-    """Return the age of the configuration soon after the store is back."""
+    """Return the age of the configuration soon after the store has recovered."""
 
     async def main():
         trio_clock = TrioClock()
         view = RouterView("a", trio_clock, RetryAllowance(), Freshness(BOUND_S))
-        began = trio.current_time()
-        store = FailingStore(began + 10.0, began + back_at)
+        started_at = trio.current_time()
+        store = FailingStore(started_at + 10.0, started_at + back_at)
         async with trio.open_nursery() as nursery:
             await nursery.start(ConfigFollower(store, view, lambda idle_s: None).run)
             await nursery.start(TargetFollower(store, view).run)
@@ -78,19 +78,19 @@
     return ages[0]
 
 
-def test_keys_are_admitted_soon_after_the_stores_return():
-    """Callers are refused for want of a fresh configuration, and no longer than that.
+def test_keys_are_admitted_soon_after_the_store_recovers():
+    """Guards against refusing callers once the store has recovered from an outage.
 
-    The store is away for some seconds.  A watch that waits for changes is answered
-    two seconds after its return and confirms nothing before; here the first call
-    does not wait, and a call that gets through ends the other follower's pause.
+    The outage lasts some seconds.  A watch that waits for changes is answered two
+    seconds after the recovery and confirms nothing before.  So the first call does
+    not wait, and a call that succeeds ends the other follower's pause.
     """
     worst = max(ages_after_an_outage(13.0 + step * 0.13) for step in range(20))
     assert worst < SOON_S
 
 
 class SlowLinkStore(FailingStore):
-    """A store whose versions come each second and take some time to be read."""
+    """A store with a new version each second, and slow reads of each version."""
 
     LIMIT_S = 1.0
     VERSION_S = 0.4
@@ -123,13 +123,13 @@
 
 
 def test_a_host_that_missed_versions_on_a_slow_link_catches_up():
-    """Guards against keys refused for good once a watch outlasts its time limit."""
+    """Guards against refusing keys for good once a watch exceeds its time limit."""
 
     async def main():
         trio_clock = TrioClock()
         view = RouterView("a", trio_clock, RetryAllowance(), Freshness(BOUND_S))
-        began = trio.current_time()
-        store = SlowLinkStore(began + 10.0, began + 15.0)
+        started_at = trio.current_time()
+        store = SlowLinkStore(started_at + 10.0, started_at + 15.0)
         async with trio.open_nursery() as nursery:
             await nursery.start(ConfigFollower(store, view, lambda idle_s: None).run)
             await trio.sleep(20.0)
--- a/radishfield/forwarding/gossip_test.py
+++ b/radishfield/forwarding/gossip_test.py
@@ -1,4 +1,4 @@
-"""What a host makes of its neighbours' datagrams."""
+"""Tests of how a host applies the datagrams of its peers."""
 
 import pytest
 
@@ -67,12 +67,12 @@
     return PeerStatus(**(values | changes))
 
 
-def take(gossip, message):
+def apply_status(gossip, message):
     gossip._apply_status(message, ("127.0.0.1", 2))
 
 
-def test_a_neighbours_word_counts_from_this_hosts_own_question(gossip):
-    take(gossip, status(echoes=[Echo("me", 108.0)]))
+def test_confirmation_is_dated_by_the_echoed_send_time(gossip):
+    apply_status(gossip, status(echoes=[Echo("me", 108.0)]))
     assert gossip._view.freshness.confirmed_at == 107.5
 
 
@@ -86,24 +86,24 @@
         {"echoes": [Echo("me", 1e6)]},
     ],
 )
-def test_other_words_prove_nothing(gossip, changes):
-    """A host lost power and its clock began anew.
+def test_other_statuses_confirm_nothing(gossip, changes):
+    """Guards against echoes from before a power loss that restarted the clock.
 
-    A neighbour still echoes a time of the life before, which lies ahead; taken at
-    its word, keys would be admitted for as long as the clock needs to get there.
+    A peer still echoes a time of the earlier process, which lies ahead.  If that were
+    accepted, keys would be admitted until the clock reaches that time.
     """
-    take(gossip, status(**changes))
+    apply_status(gossip, status(**changes))
     assert gossip._view.freshness.confirmed_at is None
 
 
-def test_work_uses_and_losses_of_a_neighbour_are_taken(gossip):
+def test_work_uses_and_unreachable_targets_of_a_peer_are_applied(gossip):
     message = status(
         work=[Work("t1", 3, 300, 1)],
         uses=[Use("s", 40, 2)],
         lost=[("t2", 0)],
         leaving=[("t3", 0)],
     )
-    take(gossip, message)
+    apply_status(gossip, message)
     view = gossip._view
     assert view.load.held("t1").requests == 3
     assert view.directory.suspected("t2", 110.0)
@@ -111,14 +111,14 @@
     assert view.hosts == 2
 
 
-def test_a_neighbour_that_lost_nearly_everything_is_the_one_that_is_cut_off(gossip):
+def test_unreachable_targets_of_a_partitioned_peer_stay_usable(gossip):
     lost = [(f"t{number}", 0) for number in range(10)]
-    take(gossip, status(lost=lost))
+    apply_status(gossip, status(lost=lost))
     assert len(gossip._view.directory.usable("s", 110.0)) == 20
 
 
-def test_a_neighbour_that_falls_silent_is_forgotten_but_still_counted(gossip):
-    take(gossip, status(uses=[Use("s", 40, 2)]))
+def test_a_peer_that_stops_sending_is_forgotten_but_still_counted(gossip):
+    apply_status(gossip, status(uses=[Use("s", 40, 2)]))
     gossip._update_peer_summary()
     assert gossip._view.peers.heard == 1
     gossip._view.clock.reading = 120.0
@@ -130,7 +130,7 @@
     assert gossip._view.hosts == 1
 
 
-def test_a_zones_sum_counts_from_when_it_was_made(gossip):
+def test_zone_total_is_dated_by_its_creation(gossip):
     gossip._apply_zone_total(PeerZoneTotal("a", 0.4, [Work("t1", 30, 9000, 4)]))
     gossip._view.load.add_up("a", 110.0)
     assert gossip._view.load.held("t1").requests == 30
@@ -139,35 +139,35 @@
     assert gossip._view.load.held("t1").requests == 30
 
 
-def test_a_duty_is_passed_on_from_its_holder_only(gossip):
-    """Passed on by those who heard it from each other it would never end."""
-    take(gossip, status(duties=["s"], forwarded_duties=["t"]))
+def test_only_duties_reported_by_their_holder_are_forwarded(gossip):
+    """Hosts that forwarded each other's reports would keep a duty alive forever."""
+    apply_status(gossip, status(duties=["s"], forwarded_duties=["t"]))
     assert set(gossip._view.duty_reported_at) == {"s", "t"}
-    told = decoder.decode(gossip._status())
-    assert told.forwarded_duties == ["s"]
+    sent = decoder.decode(gossip._status())
+    assert sent.forwarded_duties == ["s"]
     gossip._view.clock.reading = 112.0
     assert decoder.decode(gossip._status()).forwarded_duties == []
 
 
-def test_a_word_that_waited_while_this_host_slept_proves_nothing(gossip):
-    """The host wakes and finds old datagrams; targets have left meanwhile.
+def test_statuses_queued_while_this_host_was_suspended_confirm_nothing(gossip):
+    """The host resumes and finds old datagrams; targets have left in the meantime.
 
-    They echo what it sent before it slept.  Taken for fresh they would keep it from
-    reading the list, and callers' work would go to targets that are gone.
+    The datagrams echo statuses from before the suspension.  Treated as fresh, they
+    would keep it from reading the list, and work would go to targets that are gone.
     """
     duty, view = gossip._view.watch_duty, gossip._view
     digest = view.directory.digest()
-    word = {"watches": True, "targets_digest": digest, "targets_age_s": 0.5}
-    take(gossip, status(**word))
+    confirmation = {"watches": True, "targets_digest": digest, "targets_age_s": 0.5}
+    apply_status(gossip, status(**confirmation))
     assert duty.agreed_at is None
-    take(gossip, status(**word, echoes=[Echo("me", 104.0)]))
+    apply_status(gossip, status(**confirmation, echoes=[Echo("me", 104.0)]))
     assert duty.agreed_at is None
-    take(gossip, status(**word, echoes=[Echo("me", 109.5)]))
+    apply_status(gossip, status(**confirmation, echoes=[Echo("me", 109.5)]))
     assert duty.agreed_at == 110.0
 
 
 def test_a_status_fits_its_datagram_with_hundreds_of_hosts(gossip):
-    """Longer than that it is cut off, and nobody hears anything of this host."""
+    """A longer status is truncated, and no host receives anything from this one."""
     for number in range(340):
         gossip._view.clock.reading = 110.0 + number * 0.001
         message = status(host_id=f"edge-duluth-hall-{number}")
@@ -178,11 +178,11 @@
     assert "edge-duluth-hall-339" in echoes and "edge-duluth-hall-1" not in echoes
 
 
-def test_a_host_that_was_just_found_is_told_before_it_is_heard(gossip):
-    """Hosts start together, and the store lists them for each other.
+def test_a_newly_found_host_gets_statuses_before_it_sends_any(gossip):
+    """Hosts start together and find each other in the store's list.
 
-    Told only once heard they are strangers for two seconds: news of targets goes to
-    nobody, and each host finds the change by itself, 1.2 s later.
+    If they sent only to hosts that had already sent a status, updates of targets
+    would reach no host for two seconds, and each would find a change 1.2 s late.
     """
     gossip._finder.add_listed("other", {"address": "127.0.0.1:2", "zone": "a"})
     gossip._round = 1
@@ -192,7 +192,7 @@
 
 
 def test_closing_and_opening_of_a_link_are_each_logged_once(gossip, caplog):
-    """A stream waits although targets have room; the log says which link is full."""
+    """The log has to show which link is full when targets have free capacity."""
     links, now = gossip._view.links, 110.0
     with caplog.at_level("INFO"):
         gossip._log_links(now)
--- a/radishfield/forwarding/peer_messages_test.py
+++ b/radishfield/forwarding/peer_messages_test.py
@@ -1,4 +1,4 @@
-"""How a configuration travels between hosts."""
+"""Tests of the message that forwards a configuration between hosts."""
 
 import uuid
 import zlib
@@ -15,7 +15,7 @@
 )
 
 
-def test_configuration_comes_as_it_was_sent():
+def test_configuration_is_received_as_it_was_sent():
     spec = {"version": 3, "routes": [{"name": f"r{n}"} for n in range(200)]}
     data = config_datagram(3, 90, spec)
     assert len(data) < DATAGRAM_BYTES
@@ -27,7 +27,7 @@
 @pytest.mark.parametrize(
     "spec", [{"keys": [uuid.uuid4().hex for _ in range(900)]}, {"n": 2**80}]
 )
-def test_configuration_that_fits_no_datagram_is_not_sent(spec):
+def test_configuration_that_fits_no_datagram_is_not_encoded(spec):
     assert config_datagram(3, 90, spec) is None
 
 
@@ -40,6 +40,6 @@
         zlib.compress(b"\xc1"),
     ],
 )
-def test_damaged_configuration_is_an_error_and_fills_no_memory(body):
+def test_damaged_configuration_is_rejected_with_bounded_memory(body):
     with pytest.raises(ValueError):
         config_spec(PeerConfig(3, 90, body))
--- a/radishfield/forwarding/view_test.py
+++ b/radishfield/forwarding/view_test.py
@@ -1,4 +1,4 @@
-"""What a host makes of how much it knows."""
+"""Tests of whether a host has enough state of other hosts."""
 
 import pytest
 
@@ -16,11 +16,11 @@
 
 
 @pytest.mark.parametrize(
-    ("age_s", "streams", "blind"),
+    ("age_s", "streams", "lacks_state"),
     [(0.5, 0, True), (0.5, 10, True), (0.5, 30, False), (2.5, 0, False)],
 )
-def test_host_is_blind_until_it_knows_work_or_had_time_to_hear_of_it(
-    age_s, streams, blind
+def test_host_lacks_remote_state_until_work_is_known_or_startup_has_passed(
+    age_s, streams, lacks_state
 ):
     clock = StepClock()
     view = RouterView("a", clock, RetryAllowance(), Freshness(5.0), started_at=100.0)
@@ -28,4 +28,4 @@
     for number in range(streams):
         view.load.started(f"t{number}", 100.0, first=True)
     clock.reading += age_s
-    assert view._lacks_remote_state() is blind
+    assert view._lacks_remote_state() is lacks_state
--- a/radishfield/forwarding/zone_test.py
+++ b/radishfield/forwarding/zone_test.py
@@ -1,4 +1,4 @@
-"""A zone of several hosts: a few follow the store and tell the others."""
+"""Tests of a zone in which a few hosts follow the store and update the others."""
 
 import uuid
 
@@ -11,10 +11,10 @@
 
 HOSTS = 9
 BOUND_S = 2.0
-"""Each change has to be in force at every host within this time."""
+"""Each change has to be active at every host within this time."""
 
 
-def play(tmp_path, scene):
+def play(tmp_path, scenario):
     async def main():
         with trio.fail_after(30):
             async with world(tmp_path) as played:
@@ -22,7 +22,7 @@
                 await played.add_plain("p1")
                 routers = await played.start_zone(HOSTS)
                 await played.until(lambda: len(on_duty(routers)) == WATCHERS_PER_ZONE)
-                await scene(played, routers)
+                await scenario(played, routers)
 
     trio.run(main)
 
@@ -36,7 +36,7 @@
 
 
 async def heartbeats(played):
-    """Write the target's entry again and again, as it does itself."""
+    """Rewrite the target's entry periodically, as the target itself does."""
     beat = 1
     while True:
         await trio.sleep(0.1)
@@ -46,24 +46,24 @@
 
 
 def test_heartbeats_cost_calls_at_the_watchers_only(tmp_path):
-    async def scene(played, routers):
+    async def scenario(played, routers):
         played.nursery.start_soon(heartbeats, played)
         await trio.sleep(1.0)
         before, began = played.store.calls, trio.current_time()
         await trio.sleep(3.0)
         rate = (played.store.calls - before) / (trio.current_time() - began)
-        # Two watchers of two kinds; nine would make some 20 calls a second.
+        # Two watchers of two kinds; nine watchers would make some 20 calls a second.
         assert rate < 8.0
         for router in routers:
             assert router.view.freshness.age_s(router.view.clock.now()) < 4.0
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
-def test_changes_are_in_force_at_hosts_that_are_told(tmp_path):
-    """Targets come and go and a key is taken away; every host knows in time."""
+def test_changes_become_active_at_hosts_that_do_not_watch_the_store(tmp_path):
+    """Target changes and a revoked key have to reach every host in time."""
 
-    async def scene(played, routers):
+    async def scenario(played, routers):
         entry = target_entry("portal", "10.9.9.9:80")
         played.store.put("servers", "p2", entry)
         await played.until(lambda: all("p2" in listed(r) for r in routers), BOUND_S)
@@ -79,55 +79,55 @@
         await played.until(lambda: {each() for each in versions} == {2}, BOUND_S)
         assert all(KEY not in r.view.table.config.workspace_by_key for r in routers)
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
 def test_change_of_the_configuration_costs_no_call_at_hosts_that_are_told(tmp_path):
-    """Keys are taken away three times; two hundred hosts would read each version.
+    """Keys are revoked three times; two hundred hosts would each read every version.
 
-    Two watchers read it, and pass on what they read within their zone.
+    Instead two watchers read it and forward it within their zone.
     """
 
-    async def scene(played, routers):
-        # All hosts watch until they hear of each other.
+    async def scenario(played, routers):
+        # All hosts watch until they have received each other's statuses.
         await trio.sleep(2.5)
-        told = [r for r in routers if not r.view.watch_duty.on_duty]
-        before = [reads_of_config(r) for r in told]
+        updated = [r for r in routers if not r.view.watch_duty.on_duty]
+        before = [reads_of_config(r) for r in updated]
         for version in (2, 3, 4):
             played.store.put("config", "main", config(version, tenants=[]))
             await played.until(
                 lambda v=version: {r.view.table.config.version for r in routers} == {v},
                 BOUND_S,
             )
-        assert [reads_of_config(r) for r in told] == before
+        assert [reads_of_config(r) for r in updated] == before
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
-def test_configuration_that_no_datagram_takes_is_read_from_the_store(tmp_path):
-    async def scene(played, routers):
+def test_configuration_too_long_for_a_datagram_is_read_from_the_store(tmp_path):
+    async def scenario(played, routers):
         tenants = [{"name": "w", "apiKeys": [uuid.uuid4().hex for _ in range(900)]}]
         played.store.put("config", "main", config(2, tenants=tenants))
         await played.until(
             lambda: {r.view.table.config.version for r in routers} == {2}, BOUND_S
         )
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
 def reads_of_config(router):
-    """Return how often a router's follower has asked for the configuration."""
+    """Return how often a router's follower has read the configuration."""
     return router.view.config_reads
 
 
 def test_others_take_over_when_every_watcher_dies(tmp_path):
-    """The hosts that followed the store are killed at once.
+    """All hosts that follow the store are killed at the same time.
 
-    The others miss their word, read the store themselves, and two of them take
-    the duty; a target that comes meanwhile is known within seconds.
+    The others no longer receive confirmations and read the store themselves.  Two of
+    them take over the duty; a target added meanwhile is known within seconds.
     """
 
-    async def scene(played, routers):
+    async def scenario(played, routers):
         for router, scope in zip(routers, played.scopes, strict=True):
             if router.view.watch_duty.on_duty:
                 scope.cancel()
@@ -136,30 +136,30 @@
         await played.until(lambda: all("p2" in listed(r) for r in left), BOUND_S)
         await played.until(lambda: len(on_duty(left)) == WATCHERS_PER_ZONE)
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
-def test_news_that_is_late_does_not_bring_a_target_back(tmp_path):
-    """A datagram overtakes another: the entry's removal, then its last writing."""
+def test_late_update_does_not_restore_a_removed_target(tmp_path):
+    """Datagrams arrive out of order: first the entry's removal, then its last write."""
 
-    async def scene(played, routers):
-        told = next(r for r in routers if not r.view.watch_duty.on_duty)
+    async def scenario(played, routers):
+        updated = next(r for r in routers if not r.view.watch_duty.on_duty)
         played.store.put("servers", "p2", target_entry("portal", "10.9.9.9:80"))
-        await played.until(lambda: "p2" in listed(told), BOUND_S)
+        await played.until(lambda: "p2" in listed(updated), BOUND_S)
         revision = played.store.revision
         played.store.remove("servers", "p2")
-        await played.until(lambda: "p2" not in listed(told), BOUND_S)
+        await played.until(lambda: "p2" not in listed(updated), BOUND_S)
         late = TargetUpdate("p2", revision, target_entry("portal", "10.9.9.9:80"))
-        told.view.on_target_updates([late])
-        assert "p2" not in listed(told)
+        updated.view.on_target_updates([late])
+        assert "p2" not in listed(updated)
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
 def test_entries_that_no_datagram_takes_are_read_from_the_store(tmp_path):
-    """Another writer's entry holds more than a datagram, and longer numbers."""
+    """Entries of another writer exceed a datagram and the integers of MessagePack."""
 
-    async def scene(played, routers):
+    async def scenario(played, routers):
         entry = target_entry("portal", "10.9.9.9:80", more="x" * 10_000)
         played.store.put("servers", "p2", entry)
         entry = target_entry("portal", "10.9.9.8:80", more=2**80)
@@ -168,18 +168,18 @@
             lambda: all({"p2", "p3"} <= listed(r).keys() for r in routers), 4.0
         )
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
-def test_hosts_that_are_told_hold_targets_that_the_outage_has_lapsed(tmp_path):
-    """Callers find targets at every host right after the store's return.
+def test_hosts_without_watches_keep_targets_whose_entries_lapsed_in_an_outage(tmp_path):
+    """Callers have to find targets at every host right after the store has recovered.
 
-    The store is away for longer than entries live without heartbeats, and returns
-    without them; the target writes its entry anew a second later.  Hosts that were
-    told of the list by others have seen no failed call of their own.
+    The outage is longer than entries live without heartbeats, so the store recovers
+    without them; the target rewrites its entry a second later.  Hosts that received
+    the list from others have seen no failed call of their own.
     """
 
-    async def scene(played, routers):
+    async def scenario(played, routers):
         missing = set()
 
         async def look():
@@ -201,4 +201,4 @@
         await trio.sleep(2.5)
         assert missing == set()
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
