--- a/radishfield/telemetry/__init__.py
+++ b/radishfield/telemetry/__init__.py
@@ -1,4 +1,4 @@
-"""What an entry host tells about itself: logs, metrics and request records."""
+"""Logs, metrics and request records of a host."""
 
 from radishfield.core import loaded_on_use
 from radishfield.telemetry._deferred import DeferredTelemetry
@@ -17,8 +17,8 @@
     RequestRecords,
 )
 
-# The metrics take a fifth of a router's start; the observer needs the scheduler and
-# with it the graph library, 13 MB that a router never uses.
+# Loading the metrics takes a fifth of a router's start-up time; the observer needs
+# the scheduler and with it the graph library, 13 MB that a router never uses.
 __getattr__ = loaded_on_use(
     {
         "NullTelemetry": "radishfield.telemetry._metrics",
--- a/radishfield/telemetry/_kinds.py
+++ b/radishfield/telemetry/_kinds.py
@@ -1,10 +1,10 @@
-"""What was asked for, as metrics tell it apart."""
+"""Kinds of requests that metrics distinguish."""
 
 import enum
 
 
 class RequestKind(enum.StrEnum):
-    """What was asked for; ``UNREAD`` was refused before that was known."""
+    """Kind of a request; ``UNREAD`` means refused before the kind was known."""
 
     MODEL = "model"
     SERVICE = "service"
--- a/radishfield/telemetry/_logs.py
+++ b/radishfield/telemetry/_logs.py
@@ -1,8 +1,8 @@
-"""JSON-lines logs: one event name a line, with the request's id throughout.
+"""Structured logs as JSON lines, each with the id of the current request.
 
 A line holds an event name and named scalar fields.  Prompts, bodies, tokens and
-keys are never passed to `log_event`; a field whose name says that it is one of
-these is masked all the same, because a leak by mistake cannot be taken back.
+keys are never passed to `log_event`; fields with such names are masked
+nevertheless, because an accidental leak cannot be undone.
 """
 
 import logging
@@ -17,7 +17,7 @@
     {"authorization", "body", "cookie", "key", "prompt", "secret", "text", "token"}
 )
 MASK = "(hidden)"
-# A caller's input can reach a field; this bounds a line, whatever was sent.
+# Limits the length of a line, since fields can hold input of callers.
 MAX_FIELD_LENGTH = 300
 
 current_request_id: ContextVar[str] = ContextVar("current_request_id", default="")
@@ -28,14 +28,14 @@
 
 
 class LogSetup(msgspec.Struct, frozen=True):
-    """Where lines go, from which level on, and the host that they name."""
+    """Lowest level, destination and host id of log lines."""
 
     level: str = "info"
     destination: str = "stderr"
     host: str = ""
 
 
-class JsonLines(logging.Formatter):
+class JsonLineFormatter(logging.Formatter):
     """Formats a record as one line of JSON."""
 
     def __init__(self, host: str = ""):
@@ -43,10 +43,10 @@
         self._host = host
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the line without its line break."""
-        moment = datetime.fromtimestamp(record.created, UTC)
+        """Return the line without a line break."""
+        timestamp = datetime.fromtimestamp(record.created, UTC)
         line: dict[str, Scalar] = {
-            "time": moment.isoformat(timespec="milliseconds"),
+            "time": timestamp.isoformat(timespec="milliseconds"),
             "level": record.levelname.lower(),
             "event": getattr(record, "event", "log"),
             "host": self._host,
@@ -57,23 +57,23 @@
         fields = getattr(record, "fields", None)
         if fields is None:
             fields = {"logger": record.name, "message": record.getMessage()}
-        line |= {name: _safe(name, value) for name, value in fields.items()}
+        line |= {name: _mask_or_truncate(name, value) for name, value in fields.items()}
         if record.exc_info:
             line["exception"] = self.formatException(record.exc_info)
         return msgspec.json.encode(line).decode()
 
 
 def configure_logs(setup: LogSetup, handler: logging.Handler | None = None) -> None:
-    """Send every log of the process through one handler, as JSON lines.
+    """Send all logs of the process through one handler, as JSON lines.
 
     Parameters
     ----------
     handler : logging.Handler, optional
-        Takes the lines in place of a stream that is written at once.
+        Replaces the default stream handler, which writes each line immediately.
     """
     root = logging.getLogger()
-    for earlier in list(root.handlers):
-        root.removeHandler(earlier)
+    for old_handler in list(root.handlers):
+        root.removeHandler(old_handler)
     root.setLevel(setup.level.upper())
     if setup.destination == "off":
         root.addHandler(logging.NullHandler())
@@ -81,14 +81,14 @@
     if handler is None:
         stream = sys.stdout if setup.destination == "stdout" else sys.stderr
         handler = logging.StreamHandler(stream)
-    handler.setFormatter(JsonLines(setup.host))
+    handler.setFormatter(JsonLineFormatter(setup.host))
     root.addHandler(handler)
 
 
 def log_event(
     event: str, level: int = logging.INFO, *, defect: bool = False, **fields: Scalar
 ) -> None:
-    """Write one line.
+    """Log an event as one line.
 
     Parameters
     ----------
@@ -102,7 +102,7 @@
         _logger.log(level, event, extra=extra, exc_info=defect)
 
 
-def _safe(name: str, value: Scalar) -> Scalar:
+def _mask_or_truncate(name: str, value: Scalar) -> Scalar:
     if name in MASKED_FIELDS:
         return MASK
     if isinstance(value, bool | int | float | None):
--- a/radishfield/telemetry/_metrics.py
+++ b/radishfield/telemetry/_metrics.py
@@ -1,11 +1,11 @@
-"""Metrics by OpenTelemetry, behind plain methods, scraped in Prometheus' format.
-
-Cost on the token path is what limits a host's tokens a second: one histogram
-record takes about 8 us, a counted integer well under one.  So tokens are counted
-in a plain integer that is read at each scrape, and only one gap between tokens
-in `TOKEN_GAP_SAMPLE` goes into the histogram.  The sample is taken by count, not
-by value, so the histogram's shares stay right; its count is not the number of
-tokens, which has a counter of its own.
+"""OpenTelemetry metrics behind plain methods, scraped in Prometheus' text format.
+
+The cost for each token limits a host's tokens per second: a histogram record takes
+about 8 us, an increment of an integer well under 1 us.  So tokens are counted in a
+plain integer that is read at each scrape, and only one in `TOKEN_GAP_SAMPLE` gaps
+between tokens is recorded in the histogram.  Sampling is by count, not by value, so
+the histogram's proportions stay correct; its count is not the number of tokens,
+which has its own counter.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -18,10 +18,10 @@
 from radishfield.core import REFUSAL_CODES, Outcome, ResultCode
 from radishfield.telemetry._kinds import RequestKind
 
-# A prime, so that the sample does not keep step with tokens per chunk.
+# A prime, so that sampling does not align with the number of tokens per chunk.
 TOKEN_GAP_SAMPLE = 7
-# The users' bounds, 0.34 s to the first token and 43 ms between tokens, are
-# bucket edges: the share within them can be read without interpolation.
+# The users' limits, 0.34 s to the first token and 43 ms between tokens, are bucket
+# edges, so that the share within them can be read without interpolation.
 FIRST_TOKEN_BOUNDS_S = (0.05, 0.1, 0.2, 0.34, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0)
 TOKEN_GAP_BOUNDS_S = (0.005, 0.01, 0.02, 0.03, 0.043, 0.06, 0.1, 0.25, 1.0, 5.0)
 REQUEST_BOUNDS_S = (0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0, 300.0)
@@ -42,7 +42,7 @@
         "_token_gap",
         "_request_time",
         "_tokens",
-        "_gaps",
+        "_gaps_since_sample",
     )
 
     def __init__(self):
@@ -74,24 +74,24 @@
             "request", REQUEST_BOUNDS_S, "Time of whole requests."
         )
         self._tokens = 0
-        self._gaps = 0
+        self._gaps_since_sample = 0
         self._meter.create_observable_counter(
             "tokens", [self._observe_tokens], description="Tokens passed on."
         )
-        self._start_series()
+        self._initialize_series()
 
     def refused(self, code: ResultCode, count: int = 1) -> None:
-        """Count a request that was refused, whatever the reason."""
+        """Count refused requests by result code."""
         self._refusals.add(count, _code_labels(code))
 
     def retried(self, code: ResultCode, count: int = 1) -> None:
-        """Count an attempt after the first, by what failed before."""
+        """Count retries by the failure of the previous attempt."""
         self._retries.add(count, _code_labels(code))
 
     def ended(
         self, kind: RequestKind, outcome: Outcome, code: ResultCode, seconds: float
     ) -> None:
-        """Count a request that ended, and its time since arrival."""
+        """Count an ended request and record its time since arrival."""
         self.count_ended(kind, outcome, code, 1)
         labels = {"kind": str(kind), "outcome": str(outcome)}
         self._request_time.record(seconds, labels)
@@ -99,7 +99,7 @@
     def count_ended(
         self, kind: RequestKind, outcome: Outcome, code: ResultCode, count: int
     ) -> None:
-        """Count requests that ended, without their times."""
+        """Count ended requests without recording their times."""
         labels = {"kind": str(kind), "outcome": str(outcome)}
         self._requests.add(count, labels | {"code": str(int(code))})
 
@@ -109,15 +109,15 @@
         self._first_token.record(seconds)
 
     def token_gap(self, seconds: float) -> None:
-        """Count a token after the first, and sample the time since the last."""
+        """Count a token after the first, and sample the time since the previous one."""
         self._tokens += 1
-        self._gaps += 1
-        if self._gaps == TOKEN_GAP_SAMPLE:
-            self._gaps = 0
+        self._gaps_since_sample += 1
+        if self._gaps_since_sample == TOKEN_GAP_SAMPLE:
+            self._gaps_since_sample = 0
             self._token_gap.record(seconds)
 
     def watch(self, name: str, description: str, read: Callable[[], float]) -> None:
-        """Export a value that is read at each scrape, such as a queue's length."""
+        """Export a value that is read at each scrape, such as a queue length."""
 
         def observe(options: CallbackOptions) -> list[Observation]:
             return [Observation(read())]
@@ -131,7 +131,7 @@
         codes: Sequence[ResultCode],
         read: Callable[[], Mapping[ResultCode, int]],
     ) -> None:
-        """Export a counter a result code, from zero on, read at each scrape."""
+        """Export one counter per result code, zero if absent, read at each scrape."""
 
         def observe(options: CallbackOptions) -> list[Observation]:
             count_by_code = read()
@@ -157,8 +157,8 @@
     def _observe_tokens(self, options: CallbackOptions) -> list[Observation]:
         return [Observation(self._tokens)]
 
-    def _start_series(self) -> None:
-        """Start each reason at zero, so that an alert sees its first rise."""
+    def _initialize_series(self) -> None:
+        """Export each reason from zero on, so that an alert sees its first rise."""
         for code in REFUSAL_CODES:
             self._refusals.add(0, _code_labels(code))
         for code in RETRY_CODES:
@@ -166,7 +166,7 @@
 
 
 class NullTelemetry(Telemetry):
-    """Records nothing; for tests and benches."""
+    """Records nothing; for tests and for hosts whose metrics export is off."""
 
     __slots__ = ()
 
--- a/radishfield/telemetry/_observer.py
+++ b/radishfield/telemetry/_observer.py
@@ -1,4 +1,4 @@
-"""Turns each step of a request's way into metrics, a record and log lines."""
+"""Turns each step of a request into metrics, recorded events and log lines."""
 
 import logging
 
@@ -22,8 +22,8 @@
 class TelemetryObserver:
     """The dispatcher's observer; see `radishfield.serving.Observer`.
 
-    It counts every request that reaches the dispatcher.  What is refused
-    before, by the callers' edge, is counted there.
+    It counts every request that reaches the dispatcher.  The callers' edge counts
+    the requests that it refuses before.
     """
 
     __slots__ = ("_telemetry", "_records", "_clock", "_last_token_by_request")
@@ -35,17 +35,17 @@
         self._last_token_by_request: dict[str, float] = {}
 
     def arrived(self, request: AnyRequest) -> None:
-        """Note nothing: the callers' edge has opened the record."""
+        """Do nothing: the callers' edge has already opened the record."""
 
     def admitted(self, request: AnyRequest) -> None:
-        """Note that the request waits for its turn."""
+        """Record that the request is queued."""
         remaining = request.deadline - self._clock.now()
         detail = f"priority {request.priority.name.lower()}, {remaining:.3f} s left"
-        self._note(request, RecordKind.QUEUED, detail)
+        self._record_event(request, RecordKind.QUEUED, detail)
 
     def dispatched(self, request: AnyRequest, dispatch: Dispatch) -> None:
-        """Note which way an attempt goes, and why."""
-        self._note(
+        """Record the targets of an attempt, and the reason."""
+        self._record_event(
             request,
             RecordKind.DISPATCHED,
             dispatch.reason,
@@ -54,7 +54,7 @@
         )
 
     def token(self, request: Request, token: Token) -> None:
-        """Time a committed token."""
+        """Record the time to the first token, or since the previous one."""
         now = self._clock.now()
         last = self._last_token_by_request.get(request.id)
         self._last_token_by_request[request.id] = now
@@ -64,17 +64,17 @@
             self._telemetry.token_gap(now - last)
 
     def reopened(self, request: Request, position: int) -> None:
-        """Note that a silent connection was replaced by a new one."""
+        """Record that a silent connection was replaced by a new one."""
         detail = f"new connection to the same attempt, from token {position}"
-        self._note(request, RecordKind.RESUMED, detail)
+        self._record_event(request, RecordKind.RESUMED, detail)
         log_event("request.reopened", position=position)
 
     def attempt_failed(
         self, request: AnyRequest, failure: Failure, problem: Fault
     ) -> None:
-        """Note an attempt's failure."""
+        """Record and log the failure of an attempt."""
         detail = f"{problem.detail}; {failure.committed} tokens were committed"
-        self._note(
+        self._record_event(
             request,
             RecordKind.ATTEMPT_FAILED,
             detail.removeprefix("; "),
@@ -91,11 +91,11 @@
         )
 
     def retried(self, request: AnyRequest, retry: Retry, problem: Fault) -> None:
-        """Count another attempt, by what failed before."""
+        """Count a retry by the failure of the previous attempt."""
         self._telemetry.retried(problem.code)
 
     def ended(self, request: AnyRequest, problem: Fault | None) -> None:
-        """Count and note the end; ``problem`` is None where it finished."""
+        """Count, record and log the end; ``problem`` is None if it finished."""
         self._last_token_by_request.pop(request.id, None)
         code = ResultCode.FINISHED if problem is None else problem.code
         outcome = Outcome.FINISHED if problem is None else problem.outcome
@@ -107,7 +107,9 @@
         if outcome is Outcome.NOT_RUN:
             self._telemetry.refused(code)
         self._telemetry.ended(kind, outcome, code, seconds)
-        self._note(request, RecordKind.ENDED, f"{outcome} {detail}".strip(), code=code)
+        self._record_event(
+            request, RecordKind.ENDED, f"{outcome} {detail}".strip(), code=code
+        )
         log_event(
             "request.ended",
             code=int(code),
@@ -118,7 +120,7 @@
             profile=request.profile.name,
         )
 
-    def _note(
+    def _record_event(
         self,
         request: AnyRequest,
         kind: RecordKind,
--- a/radishfield/telemetry/_records.py
+++ b/radishfield/telemetry/_records.py
@@ -1,7 +1,7 @@
-"""What was decided about each recent request, for ``radishfield explain``.
+"""Records of the decisions on recent requests, for ``radishfield explain``.
 
-A bounded ring in memory: the host keeps nothing on disk, and an operator asks
-about a request minutes after it, not days.
+Records are kept in a bounded buffer in memory: the host stores nothing on disk, and
+operators look up a request within minutes, not days.
 """
 
 import enum
@@ -11,9 +11,9 @@
 
 from radishfield.core import ResultCode
 
-# About 3 KB a record at 20 events: 1,024 records stay near 3 MB.
+# A record of 20 events takes about 3 KB, so 1,024 records take about 3 MB.
 MAX_RECORDS = 1024
-# A request makes a few events for each attempt; more than this says no more.
+# A request has a few events per attempt; further ones add no information.
 MAX_EVENTS = 64
 
 
@@ -37,9 +37,9 @@
     after_s : float
         Seconds since the request was received.
     detail : str
-        The reason, in a line for a person.
+        The reason, as one line of readable text.
     target_ids : tuple of str
-        The route's targets in order, where there is a route.
+        The target or the route's targets in order; empty without either.
     """
 
     after_s: float
@@ -51,7 +51,7 @@
 
 
 class RequestRecord(msgspec.Struct, frozen=True):
-    """All that is recorded of one request, in order of time."""
+    """All recorded events of one request, in order of time."""
 
     request_id: str
     caller_id: str
@@ -61,8 +61,8 @@
     events_left_out: int = 0
 
 
-class _Open:
-    """A record that still grows."""
+class _OpenRecord:
+    """A record that still receives events."""
 
     __slots__ = ("caller_id", "workspace", "profile", "started", "events", "left_out")
 
@@ -76,26 +76,28 @@
 
 
 class RequestRecords:
-    """The records of the last requests, by request id and by caller's id."""
+    """The records of the latest requests, by request id and by caller id."""
 
-    __slots__ = ("_by_request", "_request_by_caller_id", "_max_records")
+    __slots__ = ("_record_by_request_id", "_request_id_by_caller_id", "_max_records")
 
     def __init__(self, max_records: int = MAX_RECORDS):
-        self._by_request: OrderedDict[str, _Open] = OrderedDict()
-        self._request_by_caller_id: dict[str, str] = {}
+        self._record_by_request_id: OrderedDict[str, _OpenRecord] = OrderedDict()
+        self._request_id_by_caller_id: dict[str, str] = {}
         self._max_records = max_records
 
     def open(
         self, request_id: str, caller_id: str, workspace: str, profile: str, now: float
     ) -> None:
-        """Start a record; the oldest one makes room where the ring is full."""
-        self._by_request[request_id] = _Open(caller_id, workspace, profile, now)
-        self._request_by_caller_id[caller_id] = request_id
+        """Open a record; evict the oldest one if the maximum is exceeded."""
+        self._record_by_request_id[request_id] = _OpenRecord(
+            caller_id, workspace, profile, now
+        )
+        self._request_id_by_caller_id[caller_id] = request_id
         self.note(request_id, now, RecordKind.RECEIVED)
-        while len(self._by_request) > self._max_records:
-            oldest, record = self._by_request.popitem(last=False)
-            if self._request_by_caller_id.get(record.caller_id) == oldest:
-                del self._request_by_caller_id[record.caller_id]
+        while len(self._record_by_request_id) > self._max_records:
+            oldest_id, record = self._record_by_request_id.popitem(last=False)
+            if self._request_id_by_caller_id.get(record.caller_id) == oldest_id:
+                del self._request_id_by_caller_id[record.caller_id]
 
     def note(
         self,
@@ -107,11 +109,11 @@
         attempt: int = 0,
         code: ResultCode | None = None,
     ) -> None:
-        """Add an event; an unknown or dropped request is passed over."""
-        record = self._by_request.get(request_id)
+        """Add an event; ignore a request that is unknown or was evicted."""
+        record = self._record_by_request_id.get(request_id)
         if record is None:
             return
-        # The last place is kept for the end, which explains the rest.
+        # The last slot is reserved for the end event, which explains the others.
         if len(record.events) >= MAX_EVENTS - 1 and kind is not RecordKind.ENDED:
             record.left_out += 1
             return
@@ -121,11 +123,13 @@
         )
 
     def find(self, id: str) -> RequestRecord | None:
-        """Return a record by its request id, or the latest by the caller's id."""
+        """Return a record by its request id, or the latest one by the caller id."""
         request_id = (
-            id if id in self._by_request else self._request_by_caller_id.get(id)
+            id
+            if id in self._record_by_request_id
+            else self._request_id_by_caller_id.get(id)
         )
-        record = self._by_request.get(request_id or "")
+        record = self._record_by_request_id.get(request_id or "")
         if record is None:
             return None
         return RequestRecord(
--- a/radishfield/telemetry/deferred_test.py
+++ b/radishfield/telemetry/deferred_test.py
@@ -1,4 +1,4 @@
-"""Counts that were kept before the first scrape are all in it."""
+"""Tests that the first scrape includes all counts kept before it."""
 
 import subprocess
 import sys
@@ -7,7 +7,7 @@
 from radishfield.telemetry import DeferredTelemetry, RequestKind, _deferred
 
 
-def test_what_was_kept_is_in_the_first_scrape_and_later_counts_add_up():
+def test_first_scrape_includes_kept_counts_and_later_counts_add_up():
     telemetry = DeferredTelemetry()
     telemetry.watch("hosts", "Hosts.", lambda: 7)
     for _ in range(3):
@@ -25,7 +25,7 @@
     assert 'refusals_total{code="3004",reason="no-target"} 4.0' in second
 
 
-def test_counters_lose_nothing_when_times_are_no_longer_kept(monkeypatch):
+def test_counters_stay_complete_when_no_more_times_are_kept(monkeypatch):
     monkeypatch.setattr(_deferred, "KEPT_TIMES", 2)
     telemetry = DeferredTelemetry()
     for _ in range(5):
@@ -42,7 +42,7 @@
         "import sys, radishfield.forwarding;"
         "print([m for m in ('opentelemetry', 'networkx', 'capnp') if m in sys.modules])"
     )
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True
     )
-    assert done.stdout.strip() == "[]"
+    assert completed.stdout.strip() == "[]"
--- a/radishfield/telemetry/telemetry_test.py
+++ b/radishfield/telemetry/telemetry_test.py
@@ -36,11 +36,11 @@
     before = list(root.handlers), root.level
     try:
         configure_logs(LogSetup("info", "stdout", "entry-1"))
-        mark = current_request_id.set("r-1")
+        reset_token = current_request_id.set("r-1")
         log_event("request.ended", code=1000, token="abc", detail="x" * 1000)
         log_event("request.noise", logging.DEBUG)
         logging.getLogger("hypercorn.error").warning("two\nlines")
-        current_request_id.reset(mark)
+        current_request_id.reset(reset_token)
     finally:
         root.handlers, root.level = before
     first, second = map(json.loads, capsys.readouterr().out.splitlines())
