--- a/radishfield/scripts/_codes.py
+++ b/radishfield/scripts/_codes.py
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CodeRow:
-    """A row of the table."""
+    """A row of the table of result codes."""
 
     number: int
     name: str
@@ -24,7 +24,7 @@
 
 
 def code_rows() -> list[CodeRow]:
-    """Return the table, one row a code, by number."""
+    """Return the table, one row per code, in order of number."""
     return [_row(code) for code in ResultCode]
 
 
--- a/radishfield/scripts/_daemon.py
+++ b/radishfield/scripts/_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon behind ``radishfield run``: signals, and an orderly end."""
+"""The daemon behind ``radishfield run``: signals and graceful shutdown."""
 
 import gc
 import signal
@@ -10,8 +10,8 @@
 from radishfield.telemetry import LogSetup, configure_logs, log_event
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-# New objects until a collection, and collections until one of the next kind.
-COLLECT_AFTER = (50_000, 20, 50)
+# New objects until a collection, then collections until one of the next generation.
+GC_THRESHOLDS = (50_000, 20, 50)
 
 
 def run_entry_host(settings: EntrySettings) -> None:
@@ -24,34 +24,34 @@
 async def _run_until_signal(settings: EntrySettings) -> None:
     stop = trio.Event()
     host = EntryHost(settings)
-    _collect_less()
+    _reduce_garbage_collection()
     log_event("host.starting")
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_wait_signals, stop)
+        nursery.start_soon(_stop_on_signal, stop)
         await host.run(stop)
         nursery.cancel_scope.cancel()
     log_event("host.stopped")
 
 
-def _collect_less() -> None:
-    """Let the cycle collector run a hundredth as often, over new objects only.
+def _reduce_garbage_collection() -> None:
+    """Run the cycle collector a hundredth as often, over new objects only.
 
-    A token makes a few hundred short-lived objects, so the collector's default
-    of 700 ran it for each second or third token, over all of a process whose
-    modules alone hold some 80,000 objects, and found nothing.
+    A token creates a few hundred short-lived objects.  With the default threshold of
+    700 the collector runs at every second or third token, over a process whose
+    modules alone hold some 80,000 objects, and finds nothing.
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*COLLECT_AFTER)
+    gc.set_threshold(*GC_THRESHOLDS)
 
 
-async def _wait_signals(stop: trio.Event) -> None:
-    """Set ``stop`` at the first signal; a later one changes nothing.
+async def _stop_on_signal(stop: trio.Event) -> None:
+    """Set ``stop`` at the first signal; later ones have no effect.
 
-    A supervisor that repeats its SIGTERM must not cut the requests that the
-    first one lets finish; SIGKILL remains for a host that hangs.
+    A supervisor that repeats SIGTERM must not abort the requests that the first
+    one lets finish.  A host that hangs can be ended by SIGKILL.
     """
     with trio.open_signal_receiver(*STOP_SIGNALS) as signals:
-        async for number in signals:
-            log_event("host.leaving", signal=int(number))
+        async for signal_number in signals:
+            log_event("host.leaving", signal=int(signal_number))
             stop.set()
--- a/radishfield/scripts/_exits.py
+++ b/radishfield/scripts/_exits.py
@@ -1,4 +1,4 @@
-"""Exit codes, and how the command line tells of a fault."""
+"""Exit codes of the command line, and how it prints faults."""
 
 import enum
 from typing import NoReturn
@@ -10,7 +10,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What scripts read; the numbers stay as they are."""
+    """Exit codes that scripts rely on; the numbers must not change."""
 
     OK = 0
     REFUSED = 1
@@ -24,7 +24,7 @@
 
 
 def exit_code_of(problem: Fault) -> ExitCode:
-    """Return the exit code that a fault ends the command with."""
+    """Return the exit code of a command that ends with this fault."""
     if problem.code is ResultCode.CONNECT_FAILED:
         return ExitCode.UNREACHABLE
     if problem.code in CONFLICT_CODES:
--- a/radishfield/scripts/_fleet.py
+++ b/radishfield/scripts/_fleet.py
@@ -22,7 +22,7 @@
     Example: before an availability zone is switched off:
       radishfield drain zone toledo-hall
     """
-    drained = session.ask("PUT", f"/v1/drains/{kind}/{id}", Drain)
+    drained = session.request("PUT", f"/v1/drains/{kind}/{id}", Drain)
     session.show(drained, [f"{kind} {id}: drained, no new work within seconds"])
 
 
@@ -37,7 +37,7 @@
     Example:
       radishfield undrain zone toledo-hall
     """
-    drained = session.ask("DELETE", f"/v1/drains/{kind}/{id}", Drain)
+    drained = session.request("DELETE", f"/v1/drains/{kind}/{id}", Drain)
     session.show(drained, [f"{kind} {id}: takes new work again"])
 
 
@@ -71,7 +71,7 @@
     if not (first.isdigit() and end.isdigit()):
         raise click.UsageError("--layers takes FIRST:END, such as 0:4")
     body = TargetBody(first=int(first), end=int(end), **fields)
-    target = session.ask("POST", "/v1/targets", Target, body)
+    target = session.request("POST", "/v1/targets", Target, body)
     session.show(target, [_target_line(target)])
 
 
@@ -84,8 +84,8 @@
     Example:
       radishfield targets list
     """
-    known = session.ask("GET", "/v1/targets", TargetList)
-    session.show(known, _target_lines(known.targets))
+    target_list = session.request("GET", "/v1/targets", TargetList)
+    session.show(target_list, _target_lines(target_list.targets))
 
 
 @click.group()
@@ -106,7 +106,7 @@
       radishfield hosts add entry-9 --zone kingston-hall --address 10.0.3.9:7000
     """
     body = HostBody(id=id, zone=zone, address=address)
-    host = session.ask("POST", "/v1/hosts", Host, body)
+    host = session.request("POST", "/v1/hosts", Host, body)
     session.show(host, [f"{host.id} in {host.zone}: added"])
 
 
@@ -119,8 +119,8 @@
     Example:
       radishfield status
     """
-    known = session.ask("GET", "/v1/status", FleetStatus)
-    session.show(known, _status_lines(known))
+    fleet_status = session.request("GET", "/v1/status", FleetStatus)
+    session.show(fleet_status, _status_lines(fleet_status))
 
 
 @click.command()
@@ -136,14 +136,14 @@
     Example:
       radishfield explain 4f1d0c8b --operator 10.0.1.1:9000,10.0.2.1:9000
     """
-    known = session.ask("GET", f"/v1/explain/{request_id}", Explanation)
-    record = known.record
+    explanation = session.request("GET", f"/v1/explain/{request_id}", Explanation)
+    record = explanation.record
     lines = [
-        f"{record.request_id} at {known.host}: profile {record.profile}, "
+        f"{record.request_id} at {explanation.host}: profile {record.profile}, "
         f"workspace {record.workspace}"
     ]
     lines += [_event_line(event) for event in record.events]
-    session.show(known, lines)
+    session.show(explanation, lines)
 
 
 def _event_line(event: RecordedEvent) -> str:
@@ -160,37 +160,41 @@
 
 
 def _target_lines(targets: tuple[Target, ...]) -> list[str]:
-    ordered = sorted(targets, key=lambda one: (one.model, one.layers, one.id))
+    ordered = sorted(
+        targets, key=lambda target: (target.model, target.layers, target.id)
+    )
     return [_target_line(target) for target in ordered]
 
 
 def _target_line(target: Target) -> str:
     layers = f"layers {target.layers.first}:{target.layers.end}"
-    what = target.model if target.kind == "service" else f"{target.model} {layers}"
-    return f"{target.id} in {target.zone} at {target.address}: {what}, {target.state}"
+    workload = target.model if target.kind == "service" else f"{target.model} {layers}"
+    return (
+        f"{target.id} in {target.zone} at {target.address}: {workload}, {target.state}"
+    )
 
 
-def _status_lines(known: FleetStatus) -> list[str]:
-    heard = "never"
-    if known.platform_heard_s_ago is not None:
-        heard = f"{known.platform_heard_s_ago:.1f} s ago"
+def _status_lines(fleet_status: FleetStatus) -> list[str]:
+    last_contact = "never"
+    if fleet_status.platform_heard_s_ago is not None:
+        last_contact = f"{fleet_status.platform_heard_s_ago:.1f} s ago"
     lines = [
-        f"{known.host} in {known.zone}",
-        f"platform last heard: {heard}",
-        f"profiles known: {'yes' if known.profiles_known else 'no'}",
+        f"{fleet_status.host} in {fleet_status.zone}",
+        f"platform last heard: {last_contact}",
+        f"profiles known: {'yes' if fleet_status.profiles_known else 'no'}",
         "zones:",
     ]
-    for zone in known.zones:
+    for zone in fleet_status.zones:
         count = f"{zone.live_hosts} of {zone.known_hosts} entry hosts live"
         lines.append(f"  {zone.zone}: {zone.reach}, {count}")
     lines.append("entry hosts:")
-    for member in known.members:
-        place = f"{member.zone} at {member.address}"
-        lines.append(f"  {member.id} in {place}: {member.state}")
+    for member in fleet_status.members:
+        location = f"{member.zone} at {member.address}"
+        lines.append(f"  {member.id} in {location}: {member.state}")
     lines.append("targets:")
-    lines += ["  " + line for line in _target_lines(known.targets)]
+    lines += ["  " + line for line in _target_lines(fleet_status.targets)]
     lines.append("leases:")
-    for lease in known.leases:
+    for lease in fleet_status.leases:
         duty = f"{lease.duty} in {lease.zone}"
         lines.append(f"  {duty}: {lease.holder}, fencing {lease.fencing}")
     return lines
--- a/radishfield/scripts/_fleet_metrics.py
+++ b/radishfield/scripts/_fleet_metrics.py
@@ -1,7 +1,7 @@
-"""The counters of the fleet's services, for the metrics.
+"""Exports the counters of the fleet's services as metrics.
 
-The services count in plain integers, so that they need no metrics library and
-a heartbeat costs none; here the integers are read at each scrape.
+The services count in plain integers, so that they need no metrics library and a
+heartbeat records no metric.  The integers are read at each scrape.
 """
 
 from radishfield.core import MemberState, ResultCode
@@ -24,7 +24,7 @@
 
 
 def watch_fleet(telemetry: Telemetry | NullTelemetry, kernel: Kernel) -> None:
-    """Export the counters of every service of the fleet that the kernel has."""
+    """Export the counters of all fleet services that the kernel holds."""
     match kernel.find("platform", object):
         case HttpPlatform() as platform:
             _watch_platform(telemetry, platform)
--- a/radishfield/scripts/_main.py
+++ b/radishfield/scripts/_main.py
@@ -97,7 +97,7 @@
     raise SystemExit(int(ExitCode.USAGE))
 
 
-# Sections whose data classes other packages own, by name.
+# Data classes of sections that other packages define, by section name.
 EXTRA_SECTIONS: dict[str, type] = {}
 
 for command in (profiles, drain, undrain, targets, hosts, status, explain, codes):
--- a/radishfield/scripts/_options.py
+++ b/radishfield/scripts/_options.py
@@ -18,13 +18,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Session:
-    """Where a command sends its requests, and how it prints."""
+    """Client and output format of a command for operators."""
 
     client: OperatorClient
     as_json: bool
 
-    def ask(self, method: str, path: str, kind: type[T], body: object = None) -> T:
-        """Return the answer, or print the fault and end the command."""
+    def request(self, method: str, path: str, kind: type[T], body: object = None) -> T:
+        """Send a request; return the answer, or print the fault and end the command."""
         match self.client.call(method, path, kind, body):
             case Result(tag="ok", ok=value):
                 return value
@@ -36,7 +36,7 @@
         fail(problem, self.as_json)
 
     def show(self, value: object, lines: list[str]) -> None:
-        """Print a value: as JSON for scripts, or as lines for a person."""
+        """Print a value as JSON for scripts, or as lines for a person."""
         if self.as_json:
             click.echo(msgspec.json.encode(value))
         else:
@@ -44,7 +44,7 @@
 
 
 def operator_command(function):
-    """Add the options that reach an operators' listener; pass a `Session`."""
+    """Add the options that an operators' listener needs, and pass a `Session`."""
 
     @click.option(
         "--operator",
@@ -75,8 +75,8 @@
         except (OSError, UnicodeDecodeError) as error:
             click.echo(f"{token_file}: {error}", err=True)
             raise SystemExit(int(ExitCode.USAGE)) from None
-        names = tuple(addresses.replace(",", " ").split())
-        client = OperatorClient(names, token, tls_ca)
+        listener_addresses = tuple(addresses.replace(",", " ").split())
+        client = OperatorClient(listener_addresses, token, tls_ca)
         function(Session(client, as_json), **arguments)
 
     return command
--- a/radishfield/scripts/_profiles.py
+++ b/radishfield/scripts/_profiles.py
@@ -43,8 +43,8 @@
     """
     if not fields["model"]:
         raise click.UsageError("--model is needed")
-    body = ProfileBody(name=name, **_given(fields))
-    view = session.ask("POST", "/v1/profiles", ProfileView, body)
+    body = ProfileBody(name=name, **_drop_unset(fields))
+    view = session.request("POST", "/v1/profiles", ProfileView, body)
     session.show(view, _profile_lines(view))
 
 
@@ -63,17 +63,17 @@
     Example:
       radishfield profiles change review --deadline-s 60
     """
-    current = session.ask("GET", f"/v1/profiles/{name}", ProfileView)
+    current = session.request("GET", f"/v1/profiles/{name}", ProfileView)
     merged = {
         "model": current.model,
         "kind": current.kind,
         "priority": current.priority,
         "deadline_s": current.deadline_s,
         "idempotent": current.idempotent,
-    } | _given(fields)
+    } | _drop_unset(fields)
     version = current.version if expected_version is None else expected_version
     body = ProfileBody(name=name, expected_version=version, **merged)
-    view = session.ask("PUT", f"/v1/profiles/{name}", ProfileView, body)
+    view = session.request("PUT", f"/v1/profiles/{name}", ProfileView, body)
     session.show(view, _profile_lines(view))
 
 
@@ -89,7 +89,7 @@
       radishfield profiles retire review-2019
     """
     body = RetireBody(expected_version=expected_version)
-    view = session.ask("DELETE", f"/v1/profiles/{name}", ProfileView, body)
+    view = session.request("DELETE", f"/v1/profiles/{name}", ProfileView, body)
     session.show(view, _profile_lines(view))
 
 
@@ -102,8 +102,8 @@
     Example:
       radishfield profiles list --json
     """
-    known = session.ask("GET", "/v1/profiles", ProfileList)
-    session.show(known, [_profile_line(view) for view in known.profiles])
+    profile_list = session.request("GET", "/v1/profiles", ProfileList)
+    session.show(profile_list, [_profile_line(view) for view in profile_list.profiles])
 
 
 @profiles.command()
@@ -116,20 +116,20 @@
     Example:
       radishfield profiles show review
     """
-    view = session.ask("GET", f"/v1/profiles/{name}", ProfileView)
+    view = session.request("GET", f"/v1/profiles/{name}", ProfileView)
     session.show(view, _profile_lines(view))
 
 
-def _given(fields: dict) -> dict:
+def _drop_unset(fields: dict) -> dict:
     return {name: value for name, value in fields.items() if value is not None}
 
 
 def _profile_line(view: ProfileView) -> str:
-    repeat = "idempotent" if view.idempotent else "not idempotent"
+    idempotence = "idempotent" if view.idempotent else "not idempotent"
     state = " RETIRED" if view.retired else ""
     return (
         f"{view.name} version {view.version}: {view.kind} {view.model}, "
-        f"{view.priority}, {view.deadline_s:g} s, {repeat}{state}"
+        f"{view.priority}, {view.deadline_s:g} s, {idempotence}{state}"
     )
 
 
--- a/radishfield/scripts/_wiring.py
+++ b/radishfield/scripts/_wiring.py
@@ -1,4 +1,4 @@
-"""Which services an entry host consists of, and how they know each other."""
+"""Builds the services of an entry host and connects them."""
 
 import msgspec
 import trio
@@ -66,20 +66,20 @@
     TelemetryObserver,
 )
 
-# An object from the settings file is older than any that the platform holds; the
-# platform's first version is 1.
+# Objects from the settings file are older than any object of the platform, whose
+# first version is 1.
 SETTINGS_VERSION = 0
-LONE_INCARNATION = 1
-# A frame names its key in one byte.
-KEY_NUMBERS = 256
+SINGLE_HOST_INCARNATION = 1
+# A frame identifies its key by one byte.
+KEY_NUMBER_COUNT = 256
 PLACEMENT_DUTY = "placement"
 
 
 class EntryHost:
     """The services of one entry host, registered by name in a kernel.
 
-    The order of registration is the order of start: what a service needs
-    stands before it, and the callers' listener opens last.
+    Services start in order of registration: a service is registered after those
+    that it needs, and the callers' listener opens last.
     """
 
     __slots__ = ("kernel", "_settings", "_clock")
@@ -106,10 +106,10 @@
             nursery.cancel_scope.cancel()
 
     async def _leave(self) -> None:
-        """Announce, let the balancer notice, end what is in flight.
+        """Let the load balancer notice, notify peers and finish requests in flight.
 
-        Peers hear of it first: they take this host's share of the targets and
-        its duties while it still ends its own requests.
+        Peers are notified before the requests finish, so that they take over this
+        host's share of the targets and its duties meanwhile.
         """
         self.caller_app.start_draining()
         await self.kernel.find("peers", object).announce_leaving()
@@ -119,9 +119,11 @@
 
     def _add_fleet(self) -> None:
         settings, kernel = self._settings, self.kernel
-        kernel.register("platform", self._platform(settings.platform.max_calls_per_s))
-        kernel.register("peers", self._peers())
-        kernel.register("facts", self._facts())
+        kernel.register(
+            "platform", self._make_platform(settings.platform.max_calls_per_s)
+        )
+        kernel.register("peers", self._make_peers())
+        kernel.register("facts", self._make_facts())
         self._add_directory()
         self._add_spreading()
         self._add_placement_lease()
@@ -137,14 +139,14 @@
         kernel.register("directory", TargetDirectory(zone, facts, peers, self._clock))
 
     def _add_spreading(self) -> None:
-        """Facts reach this host by its peers and, while it watches, the platform."""
+        """Add what receives facts from peers and, while watching, the platform."""
         host, platform = self._settings.host, self._settings.platform
         kernel, clock = self.kernel, self._clock
         facts = kernel.find("facts", FactTable)
         peers = kernel.find("peers", object)
-        spread = SpreadSettings(host.id, host.zone)
-        kernel.register("spreader", FactSpreader(spread, peers, facts, clock))
-        watch = WatcherSettings(
+        spread_settings = SpreadSettings(host.id, host.zone)
+        kernel.register("spreader", FactSpreader(spread_settings, peers, facts, clock))
+        watcher_settings = WatcherSettings(
             host.id,
             host.zone,
             platform.watch_s,
@@ -152,7 +154,7 @@
             platform.hosts_period_s,
         )
         watcher = PlatformWatcher(
-            watch,
+            watcher_settings,
             kernel.find("platform", object),
             peers,
             facts,
@@ -193,33 +195,33 @@
         )
         kernel.register("operations", FleetOperations(parts))
 
-    def _platform(self, calls_per_s: float) -> HttpPlatform | AbsentPlatform:
-        """Return a client with a budget of calls of its own.
+    def _make_platform(self, calls_per_s: float) -> HttpPlatform | AbsentPlatform:
+        """Return a client of the platform with its own budget of calls.
 
-        Claims have one: a claim that waits behind lists and watches delays a
-        caller, and a wave of claims must not keep profiles from arriving.
+        Claims have a separate budget: a claim that waits behind lists and watches
+        delays a caller, and a burst of claims must not delay profile updates.
         """
         platform = self._settings.platform
         if not platform.address:
             return AbsentPlatform()
-        calls = CallSettings(
+        call_settings = CallSettings(
             platform.address,
             self._settings.host.id,
             platform.call_timeout_s,
             calls_per_s=calls_per_s,
         )
-        return HttpPlatform(calls, self._clock)
+        return HttpPlatform(call_settings, self._clock)
 
-    def _peers(self) -> PeerNetwork | LonePeer:
+    def _make_peers(self) -> PeerNetwork | LonePeer:
         host, peers = self._settings.host, self._settings.peers
         if not peers.bind:
-            return LonePeer(Member(host.id, host.zone, "", LONE_INCARNATION))
+            return LonePeer(Member(host.id, host.zone, "", SINGLE_HOST_INCARNATION))
         ordered = sorted(peers.keys, key=lambda key: key.id != peers.active_key)
         keys = tuple(PeerKey(key_number(key.id), key.secret) for key in ordered)
         settings = PeerSettings(host.id, host.zone, peers.bind, keys, peers.seeds)
         return PeerNetwork(settings, self._clock)
 
-    def _facts(self) -> FactTable:
+    def _make_facts(self) -> FactTable:
         facts = FactTable()
         for target in self._settings.targets:
             value = msgspec.json.encode(target)
@@ -230,23 +232,23 @@
         facts.is_known = not self._settings.platform.address
         return facts
 
-    def _telemetry(self) -> Telemetry:
+    def _make_telemetry(self) -> Telemetry:
         if self._settings.metrics.export is MetricsExport.OFF:
             return NullTelemetry()
         return Telemetry()
 
     def _add_serving(self) -> None:
         kernel, clock = self.kernel, self._clock
-        telemetry, records = self._telemetry(), RequestRecords()
+        telemetry, records = self._make_telemetry(), RequestRecords()
         kernel.register("telemetry", telemetry)
         kernel.register("records", records)
         kernel.register("targets", EngineTargets())
-        kernel.register("claims", self._claims())
+        kernel.register("claims", self._make_claims())
         self._add_placement()
         guard = CrashGuard(self._settings.host.id, clock)
         host, peers = self._settings.host, kernel.find("peers", object)
-        spread = SpreadSettings(host.id, host.zone)
-        kernel.register("crash-sharing", CrashSharing(spread, peers, guard))
+        spread_settings = SpreadSettings(host.id, host.zone)
+        kernel.register("crash-sharing", CrashSharing(spread_settings, peers, guard))
         dispatcher = Dispatcher(
             Scheduler(),
             kernel.find("targets", EngineTargets),
@@ -259,7 +261,7 @@
         kernel.register("dispatcher", dispatcher)
         self._add_views()
 
-    def _claims(self) -> Claims:
+    def _make_claims(self) -> Claims:
         host, claims = self._settings.host, self._settings.claims
         settings = ClaimSettings(
             host.id,
@@ -267,12 +269,12 @@
             ask_timeout_s=claims.ask_timeout_s,
             max_kept=claims.max_kept,
         )
-        platform = self._platform(claims.max_calls_per_s)
+        platform = self._make_platform(claims.max_calls_per_s)
         peers = self.kernel.find("peers", object)
         return Claims(platform, peers, self._clock, settings)
 
     def _add_placement(self) -> None:
-        """Add the sender of orders, and what proposes them if it is wanted."""
+        """Add the sender of orders and, if enabled, the planner that proposes them."""
         orders, placement = self._settings.orders, self._settings.placement
         kernel = self.kernel
         lease = kernel.find("placement-lease", LeaseKeeper)
@@ -287,14 +289,14 @@
         kernel.register("order-sender", sender)
         if not placement.enabled:
             return
-        plan = PlacementSettings(
+        planner_settings = PlacementSettings(
             self._settings.host.zone,
             placement.period_s,
             placement.layers_per_s,
             placement.concurrent_loads,
         )
         links = self._settings.links
-        planner = PlacementPlanner(plan, lease, directory, sender, links)
+        planner = PlacementPlanner(planner_settings, lease, directory, sender, links)
         kernel.register("placement", planner)
 
     def _add_views(self) -> None:
@@ -363,9 +365,9 @@
 
 
 def key_number(key_id: str) -> int:
-    """Return the number by which frames name a key of the settings.
+    """Return the number by which frames identify a key from the settings.
 
-    Two keys whose numbers collide are refused at the start by the sealer; the
-    operator then gives one of them another id.
+    The sealer refuses two keys with the same number at the start; the operator
+    then has to give one of them another id.
     """
-    return xxhash.xxh32_intdigest(key_id.encode()) % KEY_NUMBERS
+    return xxhash.xxh32_intdigest(key_id.encode()) % KEY_NUMBER_COUNT
--- a/radishfield/scripts/commands_test.py
+++ b/radishfield/scripts/commands_test.py
@@ -52,34 +52,34 @@
     with served(make_app(MemoryFleet(), records)) as url:
         address = strip_scheme(url)
 
-        def ask(*arguments):
-            done = run(address, token_file, *arguments)
-            assert done.exit_code == 0, done.output
-            return done.output
-
-        ask("profiles", "publish", "review", "--model", "small", "--not-idempotent")
-        ask("profiles", "change", "review", "--deadline-s", "60")
-        shown = json.loads(ask("profiles", "show", "review", "--json"))
+        def run_ok(*arguments):
+            result = run(address, token_file, *arguments)
+            assert result.exit_code == 0, result.output
+            return result.output
+
+        run_ok("profiles", "publish", "review", "--model", "small", "--not-idempotent")
+        run_ok("profiles", "change", "review", "--deadline-s", "60")
+        shown = json.loads(run_ok("profiles", "show", "review", "--json"))
         assert (shown["version"], shown["deadline_s"]) == (2, 60)
         assert not shown["idempotent"]
-        assert "a: in force (2 of 3 hosts answered)" in ask(
+        assert "a: in force (2 of 3 hosts answered)" in run_ok(
             "profiles", "show", "review"
         )
-        assert "review version 2" in ask("profiles", "list")
-        assert "drained" in ask("drain", "zone", "toledo-hall")
-        assert "again" in ask("undrain", "zone", "toledo-hall")
+        assert "review version 2" in run_ok("profiles", "list")
+        assert "drained" in run_ok("drain", "zone", "toledo-hall")
+        assert "again" in run_ok("undrain", "zone", "toledo-hall")
         add = ["targets", "add", "e9", "--host", "h", "--zone", "a", "--model", "small"]
         add += ["--address", "127.0.0.1:9", "--layers", "0:4", "--model-layers", "16"]
-        assert "layers 0:4" in ask(*add)
-        assert "entry-1 in a" in ask("status")
+        assert "layers 0:4" in run_ok(*add)
+        assert "entry-1 in a" in run_ok("status")
         # The first host cannot be reached; the next one has the record.
-        dead = closed_address()
-        told = ask("explain", "mine", "--operator", f"{dead},{address}")
-        assert "+0.500 s dispatched attempt 1 on e0 > e1 (shortest)" in told
-        assert "RETIRED" in ask("profiles", "retire", "review")
+        unreachable = closed_address()
+        explained = run_ok("explain", "mine", "--operator", f"{unreachable},{address}")
+        assert "+0.500 s dispatched attempt 1 on e0 > e1 (shortest)" in explained
+        assert "RETIRED" in run_ok("profiles", "retire", "review")
 
 
-def test_exit_codes_tell_refusal_conflict_and_unreachable_apart(token_file, tmp_path):
+def test_exit_codes_distinguish_refusal_conflict_and_unreachable(token_file, tmp_path):
     with served(make_app()) as url:
         address = strip_scheme(url)
         publish = ("profiles", "publish", "review", "--model", "small")
@@ -100,10 +100,10 @@
 
 
 def test_a_lost_answer_to_a_change_ends_as_unknown(token_file):
-    """The operator is told that the change may have taken effect.
+    """The command reports that the change may have taken effect.
 
-    The host closes the connection after it has read the change, so nobody can
-    say whether it landed; asking another host would make it twice.
+    The host closes the connection after it has read the change, so that it is unknown
+    whether the change was made; sending it to another host could make it twice.
     """
     with socket.create_server(("127.0.0.1", 0)) as server:
 
@@ -115,13 +115,13 @@
         thread = threading.Thread(target=read_and_close)
         thread.start()
         address = f"127.0.0.1:{server.getsockname()[1]}"
-        done = run(f"{address},{closed_address()}", token_file, "drain", "zone", "a")
+        result = run(f"{address},{closed_address()}", token_file, "drain", "zone", "a")
         thread.join(10)
-    assert done.exit_code == 5
-    assert "7010 CHANGE_AMBIGUOUS" in done.output
+    assert result.exit_code == 5
+    assert "7010 CHANGE_AMBIGUOUS" in result.output
 
 
-def test_operators_speak_over_tls_and_trust_nothing_else(token_file, tmp_path):
+def test_commands_use_tls_and_trust_only_the_given_authority(token_file, tmp_path):
     authority, listener = str(tmp_path / "ca.pem"), str(tmp_path / "listener.pem")
     ca = trustme.CA()
     ca.cert_pem.write_to_path(authority)
@@ -150,16 +150,16 @@
 def test_every_code_has_help_and_the_page_holds_the_same_table():
     assert set(HELP_BY_CODE) == set(ResultCode)
     page = (DOCS / "RESULT-CODES.md").read_text()
-    assert markdown_table() in page, "put in what `radishfield codes --markdown` prints"
+    assert markdown_table() in page, "insert output of `radishfield codes --markdown`"
 
 
 def test_the_operators_page_holds_every_setting():
     table = CliRunner().invoke(main, ["settings", "table"]).output.strip()
     page = (DOCS / "OPERATIONS.md").read_text()
-    assert table in page, "put in what `radishfield settings table` prints"
+    assert table in page, "insert output of `radishfield settings table`"
 
 
-def test_every_command_teaches_with_an_example():
+def test_help_of_every_command_has_an_example():
     def leaves(command, path):
         for name, inner in getattr(command, "commands", {}).items():
             yield from leaves(inner, (*path, name))
@@ -167,6 +167,6 @@
             yield path
 
     for path in leaves(main, ()):
-        told = CliRunner().invoke(main, [*path, "--help"])
-        assert told.exit_code == 0
-        assert "Example" in told.output and f"radishfield {path[0]}" in told.output
+        result = CliRunner().invoke(main, [*path, "--help"])
+        assert result.exit_code == 0
+        assert "Example" in result.output and f"radishfield {path[0]}" in result.output
--- a/radishfield/scripts/fleet_metrics_test.py
+++ b/radishfield/scripts/fleet_metrics_test.py
@@ -1,4 +1,4 @@
-"""Test that the fleet's counters are in the metrics, by reason and from zero."""
+"""Tests that metrics hold the fleet's counters, by reason and from zero on."""
 
 from radishfield.core import ResultCode
 from radishfield.edges import HttpPlatform, PlatformSettings
@@ -6,14 +6,14 @@
 from radishfield.telemetry import Telemetry
 
 
-class StillClock:
+class FixedClock:
     def now(self):
         return 0.0
 
 
 def test_faults_of_the_platform_are_counted_by_reason():
     telemetry = Telemetry()
-    platform = HttpPlatform(PlatformSettings(), StillClock())
+    platform = HttpPlatform(PlatformSettings(), FixedClock())
     _watch_platform(telemetry, platform)
     platform.faults_by_code[ResultCode.PLATFORM_AMBIGUOUS] += 2
     lines = [
