--- a/radishfield/fleet/__init__.py
+++ b/radishfield/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""The fleet: profiles, membership, targets that come and leave, leases, orders."""
+"""Fleet services: profiles, membership, the target directory, leases and orders."""
 
 from radishfield.fleet._claims import (
     Claimed,
--- a/radishfield/fleet/_directory.py
+++ b/radishfield/fleet/_directory.py
@@ -1,15 +1,15 @@
-"""The targets, and which of them may be given new work.
-
-A target leaves in one of several ways, and each is learnt on its own path: the
-platform's list names its host as leaving, an operator drains it, its host or
-its zone, or its own load report says so.  Any of them is enough.  What any host
-learns is told to the others as a "leaving" fact, so that it holds without the
-platform as well.
-
-Leaving is sticky until a new incarnation.  The platform's list lags: a copy of
-it that is older than the one before would otherwise bring a leaving target back
-for seconds, and work would be lost on it.  An operator's drain is not sticky;
-it ends when the operator takes it back.
+"""Directory of all targets and of which may receive new work.
+
+A target is marked as leaving when any of these says so: the platform's host
+list has its host as leaving, an operator drains the target, its host or its
+zone, or its own load report has the leaving flag.  What any host learns is sent
+to the others as a "leaving" fact, so that the mark also holds without the
+platform.
+
+The mark stays until the target reports a new incarnation.  The platform's list
+lags: a copy older than the previous one would otherwise make a leaving target
+available again for seconds, and work would be lost on it.  An operator's drain
+does not persist in this way; it ends when the operator revokes it.
 """
 
 import dataclasses
@@ -41,21 +41,21 @@
 """Facts between entry hosts: name is the target's id, version its incarnation."""
 
 LIST_LAG_S = 30.0
-"""How old a copy of the platform's list may be.  For so long a target that
-restarted on a host listed as leaving is taken for live, since the list may mean
-its former self; and so long a host may be missing from the list, since a copy
-from before the host was added lacks it.  After that the list is believed."""
+"""Maximum age of a copy of the platform's list.  During this time a target that
+restarted on a host listed as leaving counts as live, since the list may refer to
+its previous incarnation, and a host may be missing from the list, since a copy
+from before the host was added lacks it.  After that the list is authoritative."""
 
 
 class TargetDirectory:
-    """What this host knows of all targets.
+    """State of all targets as known to this host.
 
     Attributes
     ----------
     version : int
-        Rises whenever `targets` returns something else.
+        Incremented whenever the result of `targets` changes.
     malformed : int
-        Objects of the platform that could not be read.
+        Number of platform objects that could not be decoded.
     """
 
     __slots__ = (
@@ -91,33 +91,33 @@
         self.version = 0
         self.malformed = 0
         for kind, listener in (
-            (TARGET_KIND, self._take_in_target),
-            (DRAIN_KIND, self._take_in_drain),
-            (LEAVING_KIND, self._take_in_leaving),
-            (HOST_KIND, self._take_in_host),
+            (TARGET_KIND, self._apply_target),
+            (DRAIN_KIND, self._apply_drain),
+            (LEAVING_KIND, self._apply_leaving),
+            (HOST_KIND, self._apply_host),
         ):
             facts.listen(kind, listener)
             for fact in facts.all_of(kind):
                 listener(fact)
 
     def targets(self) -> tuple[Target, ...]:
-        """Return all targets with the state that work is to be given by."""
+        """Return all targets with the state that decides whether they get new work."""
         if self._targets is None:
             self._targets = tuple(self._target_by_id.values())
         return self._targets
 
     def find(self, target_id: str) -> Target | None:
-        """Return a target, or None."""
+        """Return the target with this id, or None."""
         return self._target_by_id.get(target_id)
 
     async def wait_changed(self, version: int) -> int:
-        """Wait until `version` is another one, and return it."""
+        """Wait until `version` differs from the given one, and return it."""
         while self.version == version:
             await self._changed.wait()
         return self.version
 
     def entry_hosts_in_zone(self) -> int:
-        """Return how many entry hosts share this zone's targets, at least 1."""
+        """Return how many live entry hosts share this zone's targets, at least 1."""
         live = sum(
             member.zone == self._zone and member.state is MemberState.LIVE
             for member in self._peers.members()
@@ -125,11 +125,11 @@
         return max(1, live)
 
     def mark_leaving(self, target_id: str, incarnation: int) -> None:
-        """Give a target no new work until a later incarnation, at any host."""
+        """Exclude a target from new work at all hosts until a later incarnation."""
         self._facts.learn(StoredObject(LEAVING_KIND, target_id, incarnation, b""))
 
     def observe_report(self, report: LoadReport) -> None:
-        """Take in a target's own account of what it holds and whether it leaves."""
+        """Record a target's load report; mark the target as leaving if it says so."""
         known = self._report_by_id.get(report.target_id)
         if known is not None and known.incarnation > report.incarnation:
             return
@@ -139,11 +139,11 @@
         self._rebuild(report.target_id)
 
     def see_hosts(self, listing: HostListing) -> None:
-        """Take in the platform's list of hosts, which lags.
+        """Apply the platform's list of hosts, which may be out of date.
 
-        A host that was listed, and is missing for longer than the list lags,
-        counts as leaving.  An empty list after a filled one is a fault of the
-        platform, and is ignored.
+        A host that was listed before, and has been missing for longer than
+        `LIST_LAG_S`, counts as leaving.  An empty list is ignored: after a
+        non-empty one it is a fault of the platform.
         """
         if not listing.hosts:
             return
@@ -173,7 +173,7 @@
         return [host.address for host in hosts if host.address]
 
     def drains(self) -> Sequence[Drain]:
-        """Return the drains in force."""
+        """Return the active drains."""
         drains = []
         for fact in self._facts.all_of(DRAIN_KIND):
             try:
@@ -184,7 +184,7 @@
                 drains.append(drain)
         return drains
 
-    def _take_in_target(self, fact: StoredObject) -> None:
+    def _apply_target(self, fact: StoredObject) -> None:
         try:
             target = msgspec.json.decode(fact.value, type=Target)
         except msgspec.DecodeError:
@@ -193,18 +193,18 @@
         self._declared_by_id[target.id] = target
         self._rebuild(target.id)
 
-    def _take_in_drain(self, fact: StoredObject) -> None:
+    def _apply_drain(self, fact: StoredObject) -> None:
         for target_id in self._declared_by_id:
             self._rebuild(target_id)
 
-    def _take_in_leaving(self, fact: StoredObject) -> None:
+    def _apply_leaving(self, fact: StoredObject) -> None:
         self._rebuild(fact.name)
 
-    def _take_in_host(self, fact: StoredObject) -> None:
+    def _apply_host(self, fact: StoredObject) -> None:
         self._peers.add_seeds(self.seed_addresses())
 
     def _rebuild(self, target_id: str) -> None:
-        """Work out one target anew, and tell of it if it is another now."""
+        """Recompute one target, and notify waiting tasks if it has changed."""
         declared = self._declared_by_id.get(target_id)
         if declared is None:
             return
@@ -222,7 +222,7 @@
         self._changed = trio.Event()
 
     def _with_report(self, declared: Target) -> Target:
-        """Return a target with what its own report of its newest start says."""
+        """Return a target updated from the report of its newest incarnation."""
         report = self._report_by_id.get(declared.id)
         if report is None or report.incarnation < declared.incarnation:
             return declared
@@ -265,12 +265,12 @@
 
 
 def drain_name(kind: DrainKind, id: str) -> str:
-    """Return the name of a drain's object in the platform."""
+    """Return the name under which the platform stores a drain."""
     return f"{kind}:{id}"
 
 
 def _is_active(value: bytes) -> bool:
-    """Tell whether a drain holds; one that cannot be read holds to be safe."""
+    """Return whether a drain is active; an unreadable one is, to be safe."""
     try:
         return msgspec.json.decode(value, type=Drain).active
     except msgspec.DecodeError:
--- a/radishfield/fleet/_load_poller.py
+++ b/radishfield/fleet/_load_poller.py
@@ -1,11 +1,11 @@
-"""Which host asks which target for its load, and how the answers are shared.
-
-Pattern of load: every host wants every target's load each second.  If each
-asked for itself, 340 hosts would put 750,000 requests a second on 2,200
-targets.  So each target is asked by one host of its zone, chosen by rendezvous
-hashing, and it tells the reports to the other hosts of the zone, in a small
-fleet to all.  The round gets longer with the bytes told, which keeps what a
-host sends and receives level.
+"""Polls targets for their load and shares the reports between hosts.
+
+Every host needs every target's load each second.  If each host polled all
+targets itself, 340 hosts would send 750,000 requests a second to 2,200 targets.
+So each target is polled by one host of its zone, chosen by rendezvous hashing,
+which sends the reports to the other hosts of the zone, or to all hosts in a
+small fleet.  The round gets longer with the number of bytes sent, which keeps
+the traffic of each host constant.
 """
 
 import dataclasses
@@ -37,42 +37,45 @@
 
 LOADS_TOPIC = "loads"
 
-STAND_IN_AFTER_ROUNDS = 3
-"""The second host in a target's order asks it after so many rounds without a
-report: the first one may be dead, or have no path to the target."""
+FALLBACK_AFTER_ROUNDS = 3
+"""Rounds without a report after which the second-ranked host also polls a target:
+the first one may be dead, or have no network path to the target."""
 
-TOLD_BYTES_PER_S = 1_200.0
-"""Half of a host's 3 KB a second, frames included; rounds get longer to keep it."""
+SEND_BYTES_PER_S = 1_200.0
+"""Half of a host's 3 KB a second, datagram overhead included.  Rounds get longer to
+keep to this limit."""
 
-FRAME_BYTES = 120
-"""Head, code, sender and UDP and IP heads of one datagram."""
+DATAGRAM_OVERHEAD_BYTES = 120
+"""Header, code and sender of one datagram, and its UDP and IP headers."""
 
-WHOLE_EVERY_ROUNDS = 20
-"""A report goes out in whole when more than its counts changed, and each so many
-rounds for those who missed it; in brief it takes 14 bytes instead of 70."""
+FULL_REPORT_EVERY_ROUNDS = 20
+"""Rounds after which an unchanged report is sent in full again, for hosts that
+missed it.  A report is also sent in full when more than its counts changed.  A
+brief report takes 14 bytes, a full one 70."""
 
-SMALL_FLEET = 12
-"""Up to so many hosts, reports go to all zones; above, only sums do."""
+SMALL_FLEET_MAX_HOSTS = 12
+"""Up to this number of hosts, reports go to all zones; above it, only totals do."""
 
 MAX_POLLS_PER_S = 50
 CONCURRENT_POLLS = 16
 POLL_TIMEOUT_S = 1.0
 
-WHOLE_ROUNDS_AFTER_CHANGE = 3
-"""A change of layers whose datagram is lost would go unseen until the next turn."""
+FULL_REPORT_ROUNDS_AFTER_CHANGE = 3
+"""Sent in several rounds: if a single datagram with changed layers were lost, hosts
+would miss the change until the next scheduled full report."""
 
 REPORTS_PER_DATAGRAM = 10
 BRIEFS_PER_DATAGRAM = 60
-"""Ten reports with ids of 30 characters, or 60 in brief, take about 900 bytes."""
+"""Ten full reports with ids of 30 characters, or 60 brief ones, take about 900 B."""
 
-SUM_PERIOD_S = 10.0
-SUM_PERIOD_PER_MEMBER_S = 0.1
-"""340 hosts: sums of 17 zones every 34 s, about 250 B/s to each host."""
+TOTALS_PERIOD_S = 10.0
+TOTALS_PERIOD_PER_MEMBER_S = 0.1
+"""With 340 hosts: totals of 17 zones every 34 s, about 250 B/s to each host."""
 
 
 @dataclass(slots=True, frozen=True)
 class PollerSettings:
-    """Who this host is, and how often it asks at the most."""
+    """Identity of this host, and the minimum time between polling rounds."""
 
     host: str
     zone: str
@@ -81,7 +84,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ZoneLoad:
-    """The load of a zone's targets together."""
+    """Total load of a zone's targets."""
 
     zone: str
     targets: int
@@ -91,21 +94,21 @@
 
 
 class LoadPoller:
-    """A service that gathers load reports and hands them on.
+    """A service that polls targets and forwards their load reports.
 
     Parameters
     ----------
     on_report : callable
-        Gets each report, the own and the told ones; the directory has had it.
+        Called with each report, polled or received, after the directory.
     """
 
     __slots__ = (
-        "_chance",
+        "_rng",
         "_changed_round_by_id",
         "_clock",
         "_directory",
         "_facts",
-        "_heard_at_by_id",
+        "_received_at_by_id",
         "_newest_by_hash",
         "_newest_by_id",
         "_on_report",
@@ -114,7 +117,7 @@
         "_round",
         "_round_s",
         "_settings",
-        "_told_by_id",
+        "_last_sent_by_id",
         "failures",
         "polls",
     )
@@ -137,40 +140,40 @@
         self._facts = facts
         self._clock = clock
         self._on_report = on_report
-        self._chance = chance or random.Random()
+        self._rng = chance or random.Random()
         self._newest_by_id: dict[str, LoadReport] = {}
         self._newest_by_hash: dict[int, LoadReport] = {}
-        self._heard_at_by_id: dict[str, float] = {}
-        self._told_by_id: dict[str, LoadReport] = {}
+        self._received_at_by_id: dict[str, float] = {}
+        self._last_sent_by_id: dict[str, LoadReport] = {}
         self._changed_round_by_id: dict[str, int] = {}
         self._round = 0
         self._round_s = settings.period_s
         self.polls = 0
         self.failures = 0
-        peers.hear(LOADS_TOPIC, self._hear)
+        peers.hear(LOADS_TOPIC, self._receive)
 
     async def run(self, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED):
-        """Ask and tell in rounds, until cancelled."""
+        """Poll targets and send reports in rounds, until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._poll_rounds)
-            nursery.start_soon(self._tell_sums)
+            nursery.start_soon(self._announce_rounds)
             task_status.started()
 
-    def own_targets(self) -> Sequence[Target]:
-        """Return the targets that this host is to ask."""
+    def assigned_targets(self) -> Sequence[Target]:
+        """Return the targets that this host polls."""
         live = self._live()
         in_zone = [member.id for member in live if member.zone == self._settings.zone]
         zones_with_hosts = {member.zone for member in live}
-        everybody = [member.id for member in live]
+        all_ids = [member.id for member in live]
         return [
             target
             for target in self._directory.targets()
             if target.state is not TargetState.GONE
-            and self._is_asked_here(target, in_zone, everybody, zones_with_hosts)
+            and self._is_polled_here(target, in_zone, all_ids, zones_with_hosts)
         ]
 
     def zone_loads(self) -> Sequence[ZoneLoad]:
-        """Return the newest sum heard of each zone."""
+        """Return the newest known totals of each zone."""
         return [
             msgspec.json.decode(fact.value, type=ZoneLoad)
             for fact in self._facts.all_of(ZONE_LOAD_KIND)
@@ -179,56 +182,59 @@
     async def _poll_rounds(self) -> None:
         while True:
             started = self._clock.now()
-            targets = self.own_targets()
+            targets = self.assigned_targets()
             reports = await self._poll(targets)
-            told = await self._tell(reports)
+            sent_bytes = await self._send_reports(reports)
             self._round += 1
             self._round_s = max(
                 self._settings.period_s,
-                told / TOLD_BYTES_PER_S,
+                sent_bytes / SEND_BYTES_PER_S,
                 len(targets) / MAX_POLLS_PER_S,
             )
-            rest_s = self._round_s - (self._clock.now() - started)
-            await trio.sleep(max(0.0, rest_s) * self._chance.uniform(0.9, 1.1))
+            wait_s = self._round_s - (self._clock.now() - started)
+            await trio.sleep(max(0.0, wait_s) * self._rng.uniform(0.9, 1.1))
 
-    async def _tell(self, reports: Sequence[LoadReport]) -> int:
-        """Tell the other hosts, and return the bytes that it took."""
+    async def _send_reports(self, reports: Sequence[LoadReport]) -> int:
+        """Send reports to the other hosts, and return the number of bytes sent."""
         receivers = self._receivers()
-        whole = [report for report in reports if self._is_told_whole(report)]
-        whole_ids = {report.target_id for report in whole}
-        brief = [
+        full = [report for report in reports if self._is_sent_in_full(report)]
+        full_ids = {report.target_id for report in full}
+        briefs = [
             _wire.BriefLoad(
                 _hash(report.target_id), report.in_flight, report.queued, report.step_s
             )
             for report in reports
-            if report.target_id not in whole_ids
+            if report.target_id not in full_ids
         ]
         batches = [
-            _wire.LoadBatch(whole[first : first + REPORTS_PER_DATAGRAM], [])
-            for first in range(0, len(whole), REPORTS_PER_DATAGRAM)
+            _wire.LoadBatch(full[first : first + REPORTS_PER_DATAGRAM], [])
+            for first in range(0, len(full), REPORTS_PER_DATAGRAM)
         ]
         batches += [
-            _wire.LoadBatch([], brief[first : first + BRIEFS_PER_DATAGRAM])
-            for first in range(0, len(brief), BRIEFS_PER_DATAGRAM)
+            _wire.LoadBatch([], briefs[first : first + BRIEFS_PER_DATAGRAM])
+            for first in range(0, len(briefs), BRIEFS_PER_DATAGRAM)
         ]
-        told = 0
+        sent_bytes = 0
         for batch in batches:
             payload = _wire.encode_loads(batch)
             await self._peers.tell(receivers, LOADS_TOPIC, payload)
-            told += len(receivers) * (len(payload) + FRAME_BYTES)
-        return told
-
-    def _is_told_whole(self, report: LoadReport) -> bool:
-        """Tell whether a report goes out in whole; each target in its own round."""
-        told = self._told_by_id.get(report.target_id)
-        self._told_by_id[report.target_id] = report
-        if told is None or _without_counts(told) != _without_counts(report):
+            sent_bytes += len(receivers) * (len(payload) + DATAGRAM_OVERHEAD_BYTES)
+        return sent_bytes
+
+    def _is_sent_in_full(self, report: LoadReport) -> bool:
+        """Return whether to send a full report now, and record the report as sent.
+
+        The repeated full reports of different targets fall into different rounds.
+        """
+        last_sent = self._last_sent_by_id.get(report.target_id)
+        self._last_sent_by_id[report.target_id] = report
+        if last_sent is None or _without_counts(last_sent) != _without_counts(report):
             self._changed_round_by_id[report.target_id] = self._round
         unchanged_rounds = self._round - self._changed_round_by_id[report.target_id]
-        turn = _hash(report.target_id) % WHOLE_EVERY_ROUNDS
+        full_round = _hash(report.target_id) % FULL_REPORT_EVERY_ROUNDS
         return (
-            unchanged_rounds < WHOLE_ROUNDS_AFTER_CHANGE
-            or self._round % WHOLE_EVERY_ROUNDS == turn
+            unchanged_rounds < FULL_REPORT_ROUNDS_AFTER_CHANGE
+            or self._round % FULL_REPORT_EVERY_ROUNDS == full_round
         )
 
     async def _poll(self, targets: Sequence[Target]) -> Sequence[LoadReport]:
@@ -238,7 +244,7 @@
         async def poll(target: Target) -> None:
             async with limit:
                 with trio.move_on_after(POLL_TIMEOUT_S):
-                    self._take_answer(await self._port.load(target), reports)
+                    self._handle_answer(await self._port.load(target), reports)
 
         async with trio.open_nursery() as nursery:
             for target in targets:
@@ -247,21 +253,21 @@
         self.failures += len(targets) - len(reports)
         return reports
 
-    def _take_answer(self, answer: Result, reports: list[LoadReport]) -> None:
+    def _handle_answer(self, answer: Result, reports: list[LoadReport]) -> None:
         if answer.is_ok():
             reports.append(answer.ok)
-            self._take_in(answer.ok)
+            self._record(answer.ok)
 
-    def _hear(self, sender: str, payload: bytes) -> None:
+    def _receive(self, sender: str, payload: bytes) -> None:
         decoded = _wire.decode_loads(payload)
         if decoded.is_error():
             return
         for report in decoded.ok.reports:
-            self._take_in(report)
+            self._record(report)
         for brief in decoded.ok.briefs:
             known = self._newest_by_hash.get(brief.target_hash)
             if known is not None:
-                self._take_in(
+                self._record(
                     dataclasses.replace(
                         known,
                         in_flight=brief.in_flight,
@@ -271,25 +277,25 @@
                     )
                 )
 
-    def _take_in(self, report: LoadReport) -> None:
+    def _record(self, report: LoadReport) -> None:
         self._newest_by_id[report.target_id] = report
         self._newest_by_hash[_hash(report.target_id)] = report
-        self._heard_at_by_id[report.target_id] = self._clock.now()
+        self._received_at_by_id[report.target_id] = self._clock.now()
         self._directory.observe_report(report)
         self._on_report(report)
 
-    async def _tell_sums(self) -> None:
-        """Tell other zones this zone's sum, from one host of the zone."""
+    async def _announce_rounds(self) -> None:
+        """Announce this zone's totals periodically, from one host of the zone."""
         while True:
             members = self._live()
-            period_s = max(SUM_PERIOD_S, len(members) * SUM_PERIOD_PER_MEMBER_S)
-            await trio.sleep(period_s * self._chance.uniform(0.9, 1.1))
+            period_s = max(TOTALS_PERIOD_S, len(members) * TOTALS_PERIOD_PER_MEMBER_S)
+            await trio.sleep(period_s * self._rng.uniform(0.9, 1.1))
             zone = self._settings.zone
             in_zone = [member.id for member in self._live() if member.zone == zone]
             if ranked(in_zone, f"sum {zone}")[:1] == [self._settings.host]:
-                self._tell_sum()
+                self._announce_totals()
 
-    def _tell_sum(self) -> None:
+    def _announce_totals(self) -> None:
         zone = self._settings.zone
         reports = [
             self._newest_by_id[target.id]
@@ -304,39 +310,41 @@
             sum(report.queued for report in reports),
         )
         known = self._facts.find(ZONE_LOAD_KIND, zone)
-        # Wall-clock seconds, so that a host that takes the duty over without
-        # having heard the last sum is not ignored as older.
+        # Wall-clock seconds: a host that takes over the duty without having
+        # received the last totals would otherwise send an older version, which
+        # would be ignored.
         version = max(int(time.time()), 0 if known is None else known.version + 1)
         value = msgspec.json.encode(load)
         self._facts.learn(StoredObject(ZONE_LOAD_KIND, zone, version, value))
 
-    def _is_asked_here(
+    def _is_polled_here(
         self,
         target: Target,
         in_zone: Sequence[str],
-        everybody: Sequence[str],
+        all_ids: Sequence[str],
         zones_with_hosts: set[str],
     ) -> bool:
-        """Tell whether this host asks a target: of its zone, or of one without hosts.
+        """Return whether this host polls a target.
 
-        Targets of other zones are passed over before anything is hashed.
+        A host polls targets of its own zone and of zones without hosts.  Targets
+        of other zones are skipped before anything is hashed.
         """
         if target.zone == self._settings.zone:
             candidates = in_zone
         elif target.zone in zones_with_hosts:
             return False
         else:
-            candidates = everybody
+            candidates = all_ids
         order = ranked(candidates, target.id)
         if order[:1] == [self._settings.host]:
             return True
-        return order[1:2] == [self._settings.host] and self._is_unheard(target.id)
+        return order[1:2] == [self._settings.host] and self._is_overdue(target.id)
 
-    def _is_unheard(self, target_id: str) -> bool:
-        """Tell whether the first host in a target's order seems not to ask it."""
-        heard_at = self._heard_at_by_id.get(target_id)
-        patience_s = STAND_IN_AFTER_ROUNDS * self._round_s
-        return heard_at is None or self._clock.now() - heard_at > patience_s
+    def _is_overdue(self, target_id: str) -> bool:
+        """Return whether the first-ranked host appears not to poll a target."""
+        received_at = self._received_at_by_id.get(target_id)
+        max_wait_s = FALLBACK_AFTER_ROUNDS * self._round_s
+        return received_at is None or self._clock.now() - received_at > max_wait_s
 
     def _receivers(self) -> Sequence[str]:
         live = self._live()
@@ -344,7 +352,9 @@
             member.id
             for member in live
             if member.id != self._settings.host
-            and (len(live) <= SMALL_FLEET or member.zone == self._settings.zone)
+            and (
+                len(live) <= SMALL_FLEET_MAX_HOSTS or member.zone == self._settings.zone
+            )
         ]
 
     def _live(self) -> Sequence[Member]:
--- a/radishfield/fleet/_operations.py
+++ b/radishfield/fleet/_operations.py
@@ -1,4 +1,4 @@
-"""The actions of operators, behind the operator endpoint and command line."""
+"""Implements the operator actions of the operator endpoint and command line."""
 
 import uuid
 from collections import defaultdict
@@ -49,13 +49,14 @@
 VERSIONS_TOPIC = "profiles.versions"
 
 VERSIONS_TIMEOUT_S = 1.5
-CONCURRENT_QUESTIONS = 32
-"""A status at 340 hosts takes about ten turns; it is asked for by a person."""
+CONCURRENT_QUERIES = 32
+"""A status at 340 hosts takes about ten rounds of queries, which is fast enough for
+a person who waits for it."""
 
 
 @dataclass(slots=True, frozen=True)
 class FleetParts:
-    """The services that operators act on, as the daemon wires them."""
+    """The services that operator actions use, as the daemon wires them."""
 
     host: str
     zone: str
@@ -70,11 +71,12 @@
 
 
 class FleetOperations:
-    """What an operator can do at any entry host.
+    """The actions that an operator can run at any entry host.
 
-    Profiles are checked and written by `ProfileStore`, whose codes come back:
-    ``CHANGE_CONFLICT`` with what won, ``PROFILE_RETIRED``, ``CHANGE_INVALID``,
-    and ``CHANGE_AMBIGUOUS`` where the platform could not say whether it landed.
+    `ProfileStore` checks and writes profiles, and its codes are returned:
+    ``CHANGE_CONFLICT`` with the change that won, ``PROFILE_RETIRED``,
+    ``CHANGE_INVALID``, and ``CHANGE_AMBIGUOUS`` where the platform could not
+    confirm whether the change took effect.
     """
 
     __slots__ = ("_new_change_id", "_parts")
@@ -89,7 +91,7 @@
         parts.peers.answer(VERSIONS_TOPIC, self._answer_versions)
 
     async def publish_profile(self, profile: Profile) -> Result[Profile, Fault]:
-        """Publish a profile under a new name; the result carries its version."""
+        """Publish a profile under a new name, and return it with its version."""
         return await self._parts.profiles.publish(profile)
 
     async def change_profile(
@@ -105,29 +107,29 @@
         return await self._parts.profiles.retire(name, expected_version)
 
     def list_profiles(self) -> Sequence[Profile]:
-        """Return every profile in force here, and the retired ones."""
+        """Return the active profiles of this host, and the retired ones."""
         return self._parts.profiles.all_profiles()
 
     def show_profile(self, name: str) -> Result[Profile, Fault]:
-        """Return one profile as it is in force here, also a retired one."""
+        """Return one profile as this host knows it, also a retired one."""
         return self._parts.profiles.show(name)
 
     async def drain(self, kind: DrainKind, id: str) -> Result[Drain, Fault]:
-        """Give a target, a host's targets or a zone's targets no new work.
+        """Exclude a target, a host's targets or a zone's targets from new work.
 
-        Without the platform the drain cannot be kept.  It is told to all hosts
-        in reach all the same, until the targets start anew, and the fault that
-        comes back says so.
+        Without the platform the drain cannot be stored.  It is then sent to all
+        reachable hosts, holds until the targets restart, and the returned fault
+        says so.
         """
         drained = await self._set_drain(kind, id, active=True)
         if drained.is_ok() or drained.error.code is ResultCode.CHANGE_CONFLICT:
             return drained
-        told = self._mark_leaving(kind, id)
-        detail = f"not kept by the platform; told to peers for {told} targets"
+        marked = self._mark_leaving(kind, id)
+        detail = f"platform did not store the drain; sent to peers for {marked} targets"
         return Error(fault(drained.error.code, detail, drained.error.retry_after_s))
 
     async def undrain(self, kind: DrainKind, id: str) -> Result[Drain, Fault]:
-        """Take a drain back."""
+        """Revoke a drain."""
         return await self._set_drain(kind, id, active=False)
 
     async def add_target(self, target: Target) -> Result[Target, Fault]:
@@ -142,16 +144,16 @@
     async def add_host(self, host: Host) -> Result[Host, Fault]:
         """Add a host; an entry host's address serves others as a seed."""
         if not host.id or not host.zone:
-            return Error(fault(ResultCode.CHANGE_INVALID, "a host has an id and zone"))
+            return Error(fault(ResultCode.CHANGE_INVALID, "host needs an id and zone"))
         value = msgspec.json.encode(host)
         put = await self._put(HOST_KIND, host.id, value, value.__eq__)
         return put.map(lambda stored: host)
 
     async def status(self) -> Result[FleetStatus, Fault]:
-        """Return what this host knows, asking live hosts for their versions."""
+        """Return the state known to this host, and live hosts' profile versions."""
         parts = self._parts
         members = tuple(parts.peers.members())
-        heard_at = parts.watcher.last_answer_at
+        answered_at = parts.watcher.last_answer_at
         status = FleetStatus(
             host=parts.host,
             zone=parts.zone,
@@ -162,7 +164,7 @@
             leases=tuple(lease.status() for lease in parts.leases),
             profiles_known=parts.facts.is_known,
             platform_heard_s_ago=(
-                None if heard_at is None else parts.clock.now() - heard_at
+                None if answered_at is None else parts.clock.now() - answered_at
             ),
         )
         return Ok(status)
@@ -171,7 +173,7 @@
         self, kind: DrainKind, id: str, active: bool
     ) -> Result[Drain, Fault]:
         if not id:
-            return Error(fault(ResultCode.CHANGE_INVALID, "nothing named to drain"))
+            return Error(fault(ResultCode.CHANGE_INVALID, "id of the drain is missing"))
         drain = Drain(kind, id, active, self._new_change_id())
         value = msgspec.json.encode(drain)
         put = await self._put(DRAIN_KIND, drain_name(kind, id), value, value.__eq__)
@@ -181,7 +183,7 @@
         matching = [
             target
             for target in self._parts.directory.targets()
-            if id == _drained_part(kind, target)
+            if id == _drained_id(kind, target)
         ]
         for target in matching:
             self._parts.directory.mark_leaving(target.id, target.incarnation)
@@ -190,7 +192,7 @@
     async def _put(
         self, kind: str, name: str, value: bytes, carries: Callable[[bytes], bool]
     ) -> Result[StoredObject, Fault]:
-        """Write over what is stored, and tell the other hosts."""
+        """Overwrite a stored object, and send the new one to the other hosts."""
         read = await self._parts.platform.read(kind, name)
         if read.is_error() and read.error.code is not ResultCode.OBJECT_NOT_FOUND:
             return Error(read.error)
@@ -208,8 +210,8 @@
     async def _profiles_in_zones(
         self, members: Sequence[Member]
     ) -> tuple[ProfileInZone, ...]:
-        """Ask every live host for its versions, and sum them up by zone."""
-        asked = [
+        """Query every live host for its versions, and aggregate them by zone."""
+        queried = [
             member
             for member in members
             if member.state is not MemberState.DEAD and member.id != self._parts.host
@@ -217,9 +219,9 @@
         versions_by_zone: dict[str, list[dict[str, int]]] = defaultdict(list)
         own = self._parts.profiles.version_by_name()
         versions_by_zone[self._parts.zone].append(own)
-        limit = trio.CapacityLimiter(CONCURRENT_QUESTIONS)
+        limit = trio.CapacityLimiter(CONCURRENT_QUERIES)
 
-        async def ask(member: Member) -> None:
+        async def query(member: Member) -> None:
             async with limit:
                 answer = await self._parts.peers.ask(
                     member.id, VERSIONS_TOPIC, b"", VERSIONS_TIMEOUT_S
@@ -231,9 +233,9 @@
                 )
 
         async with trio.open_nursery() as nursery:
-            for member in asked:
-                nursery.start_soon(ask, member)
-        zones = [member.zone for member in asked] + [self._parts.zone]
+            for member in queried:
+                nursery.start_soon(query, member)
+        zones = [member.zone for member in queried] + [self._parts.zone]
         return profiles_in_zones(
             versions_by_zone,
             {zone: zones.count(zone) for zone in zones},
@@ -252,7 +254,7 @@
 
 def profiles_in_zones(
     versions_by_zone: dict[str, list[dict[str, int]]],
-    asked_by_zone: dict[str, int],
+    queried_by_zone: dict[str, int],
     zones: set[str],
 ) -> tuple[ProfileInZone, ...]:
     """Return the lowest and highest version of each profile in each zone."""
@@ -269,7 +271,7 @@
             min((answer.get(name, 0) for answer in answers), default=0),
             max((answer.get(name, 0) for answer in answers), default=0),
             len(answers),
-            asked_by_zone.get(zone, 0),
+            queried_by_zone.get(zone, 0),
         )
         for name in sorted(names)
         for zone in sorted(zones | set(versions_by_zone))
@@ -280,7 +282,7 @@
 def zone_statuses(
     own_zone: str, members: Sequence[Member], targets: Sequence[Target]
 ) -> tuple[ZoneStatus, ...]:
-    """Return what can be said of each zone that has a host or a target."""
+    """Return the status of each zone that has a host or a target."""
     zones = {member.zone for member in members} | {target.zone for target in targets}
     statuses = []
     for zone in sorted(zones):
@@ -295,7 +297,7 @@
     return tuple(statuses)
 
 
-def _drained_part(kind: DrainKind, target: Target) -> str:
+def _drained_id(kind: DrainKind, target: Target) -> str:
     match kind:
         case DrainKind.TARGET:
             return target.id
@@ -306,15 +308,15 @@
 
 
 def _check_target(target: Target) -> Fault | None:
-    """Return why a target cannot be added, if so."""
+    """Return why a target cannot be added, or None."""
     if not (target.id and target.host and target.zone and target.address):
-        detail = "a target has an id, host, zone and address"
+        detail = "target needs an id, host, zone and address"
         return fault(ResultCode.CHANGE_INVALID, detail)
     is_engine = target.kind is TargetKind.ENGINE
     if is_engine and not 0 <= target.layers.first < target.layers.end:
-        return fault(ResultCode.CHANGE_INVALID, "an engine holds a range of layers")
+        return fault(ResultCode.CHANGE_INVALID, "engine needs a range of layers")
     if is_engine and target.layers.end > target.model_layers:
-        return fault(ResultCode.CHANGE_INVALID, "layers beyond the model's")
+        return fault(ResultCode.CHANGE_INVALID, "layers exceed those of the model")
     return None
 
 
--- a/radishfield/fleet/_orders.py
+++ b/radishfield/fleet/_orders.py
@@ -1,13 +1,13 @@
-"""Placement orders: sent one after the other, under a lease, with a deadline.
+"""Sends placement orders one at a time, under a lease and with a deadline.
 
-Pattern of load: a plan of many moves comes at once.  Sent at once, all targets
-would read weights from a store that is rate-limited, each would load for
-minutes, and ranges of layers would be without any target meanwhile.  So loads
-are spread out, and no order takes the last replica of a layer.
+A plan may contain many moves.  If all were sent at once, all targets would read
+weights from a rate-limited store, each would load for minutes, and ranges of
+layers would be without any target meanwhile.  So loads are spread out over
+time, and no order removes the last replica of a layer.
 
-An order is dropped rather than sent late: the lease is checked right before
-each send for as long as the order may take, and the target is told a timeout
-after which it must not start.
+An order is dropped rather than sent late.  Right before each send, the lease is
+checked to last as long as the order may take, and the order carries a timeout
+after which the target must not start it.
 """
 
 from collections import Counter, deque
@@ -37,21 +37,22 @@
 SET_ROLE = "set-role"
 
 MAX_PENDING = 256
-"""A plan for one zone; what does not fit is proposed again with the next plan."""
+"""Enough for the plan of one zone.  Orders beyond it are proposed again with the
+next plan."""
 
 OUTCOMES_KEPT = 64
 
 
 @dataclass(slots=True, frozen=True)
 class ProposedOrder:
-    """What placement wants a target to do.
+    """An order that placement proposes for a target.
 
     Attributes
     ----------
     layers : LayerRange
-        For ``load-layers``: what the target is to hold afterwards.
+        For ``load-layers``: the layers that the target holds afterwards.
     reason : str
-        Why, for the log and for operators.
+        Why the order is proposed, for the log and for operators.
     """
 
     target_id: str
@@ -63,7 +64,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OrderOutcome:
-    """What became of a proposed order."""
+    """The result of a proposed order."""
 
     order: ProposedOrder
     result: Result[None, Fault]
@@ -71,7 +72,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OrderSettings:
-    """Limits of sending.
+    """Limits for sending orders.
 
     Attributes
     ----------
@@ -79,10 +80,11 @@
         Seconds from sending after which a target must not start an order.  Not
         above `LeaseSettings.longest_order_s`.
     load_interval_s : float
-        Seconds between two loads of weights, from the weight store's rate.
+        Seconds between two loads of weights, derived from the rate of the
+        weight store.
     load_s : float
-        Seconds for which a target that was told to load counts as loading,
-        unless its own report shows the load sooner.
+        Seconds for which a target counts as loading after a load order, unless
+        its own report shows sooner that the load is done.
     """
 
     timeout_s: float = 5.0
@@ -102,7 +104,7 @@
     Attributes
     ----------
     outcomes : deque of OrderOutcome
-        The last ones.
+        The most recent outcomes.
     sent, refused_by_code : int, Counter
         Counters for the metrics.
     """
@@ -147,12 +149,12 @@
         self.refused_by_code: Counter[ResultCode] = Counter()
 
     def propose(self, orders: Sequence[ProposedOrder]) -> None:
-        """Replace the orders that wait by those of a newer plan."""
+        """Replace the pending orders with those of a newer plan."""
         self._pending = deque(orders[:MAX_PENDING])
         self._proposed.set()
 
     async def run(self, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED):
-        """Send what is proposed, until cancelled."""
+        """Send proposed orders, until cancelled."""
         task_status.started()
         while True:
             await self._proposed.wait()
@@ -160,10 +162,10 @@
             while self._pending:
                 order = self._pending.popleft()
                 await self._wait_for_turn(order)
-                self._note(OrderOutcome(order, await self.send(order)))
+                self._record(OrderOutcome(order, await self.send(order)))
 
     async def send(self, order: ProposedOrder) -> Result[None, Fault]:
-        """Send one order now, or say why not."""
+        """Send one order now, or return why it was not sent."""
         target = self._directory.find(order.target_id)
         problem = self._refusal(order, target)
         if problem is not None:
@@ -182,15 +184,16 @@
             loading = _Loading(order, now + self._settings.load_s)
             self._loading_by_target[target.id] = loading
         self.sent += 1
-        # Whether a late order was started is not known; it counts as loading.
+        # Without an answer the target may have started the order, so it still
+        # counts as loading.
         result: Result[None, Fault] = Error(
             fault(ResultCode.ORDER_LATE, f"{target.id}: no answer")
         )
         with trio.move_on_after(self._settings.timeout_s):
-            result = await self._port.order(target, self._as_sent(order, held.ok))
+            result = await self._port.order(target, self._target_order(order, held.ok))
         if result.is_error() and result.error.code is ResultCode.ORDER_FENCED:
-            # The target knows a later holder; it has not started, so what it
-            # holds counts as before.
+            # The target knows the fencing number of a later lease holder and has
+            # not started the order, so the layers that it holds count as before.
             self._loading_by_target.pop(target.id, None)
         return result
 
@@ -200,9 +203,9 @@
             await trio.sleep(max(0.0, next_load_at - self._clock.now()))
 
     async def _wait_out(self, held: HeldLease) -> None:
-        """Let the last order of the holder before run out first.
+        """Wait until the last order of the previous lease holder has expired.
 
-        A target that ignores fencing numbers would run it beside this one.
+        A target that ignores fencing numbers would otherwise run both at once.
         """
         wait_s = held.unfenced_from - self._clock.now()
         if wait_s > 0:
@@ -211,7 +214,7 @@
     def _refusal(self, order: ProposedOrder, target: Target | None) -> Fault | None:
         if target is None or target.state is not TargetState.LIVE:
             return fault(ResultCode.NO_TARGET, order.target_id)
-        self._forget_loaded()
+        self._remove_loaded()
         missing = layers_left_without_replica(
             order, target, self._directory.targets(), set(self._loading_by_target)
         )
@@ -220,7 +223,7 @@
             return fault(ResultCode.LAST_REPLICA, detail)
         return None
 
-    def _forget_loaded(self) -> None:
+    def _remove_loaded(self) -> None:
         now = self._clock.now()
         for target_id, loading in list(self._loading_by_target.items()):
             if loading.until <= now or self._is_loaded(target_id, loading.order):
@@ -237,7 +240,7 @@
                 return target.model_version == order.argument
         return False
 
-    def _as_sent(self, order: ProposedOrder, held: HeldLease) -> TargetOrder:
+    def _target_order(self, order: ProposedOrder, held: HeldLease) -> TargetOrder:
         return TargetOrder(
             order.kind,
             order.argument,
@@ -246,7 +249,7 @@
             (order.layers.first, order.layers.end),
         )
 
-    def _note(self, outcome: OrderOutcome) -> None:
+    def _record(self, outcome: OrderOutcome) -> None:
         self.outcomes.append(outcome)
         if outcome.result.is_error():
             self.refused_by_code[outcome.result.error.code] += 1
@@ -261,7 +264,7 @@
 ) -> Sequence[int]:
     """Return the layers that no live target would hold while the order runs.
 
-    Targets that are loading count as holding nothing: a load may fail, and
+    Targets that are loading count as holding no layers: a load may fail, and
     until it is done they serve neither the old layers nor the new ones.
     """
     if order.kind == LOAD_ADAPTER:
--- a/radishfield/fleet/_placement.py
+++ b/radishfield/fleet/_placement.py
@@ -1,8 +1,8 @@
-"""Placement orders: what the zone's lease holder proposes, and when.
+"""Plans placement periodically at the host that holds the zone's lease.
 
-The decision itself is `radishfield.decisions.propose_moves`.  This service asks
-it now and then, for the targets of its own zone, and hands the moves to the
-`OrderSender`, which checks the lease again before each order.
+`radishfield.decisions.propose_moves` decides which moves to make.  This service
+calls it once in each period for the targets of its own zone and forwards the
+moves to the `OrderSender`, which checks the lease again before each order.
 """
 
 from collections.abc import Callable, Sequence
@@ -16,20 +16,21 @@
 from radishfield.fleet._leases import LeaseKeeper
 from radishfield.fleet._orders import LOAD_LAYERS, OrderSender, ProposedOrder
 
-MovesOf = Callable[[Sequence[Target], Sequence[Link], str, Store], list[Move]]
+MovePlanner = Callable[[Sequence[Target], Sequence[Link], str, Store], list[Move]]
 
 
 @dataclass(slots=True, frozen=True)
 class PlacementSettings:
-    """How often placement is thought about, and how fast weights load.
+    """How often placement is planned, and how fast weights load.
 
     Attributes
     ----------
     period_s : float
-        Seconds between plans.  A plan may cost seconds of CPU time, and a move
-        has to earn its load back over minutes: more often would only cost.
+        Seconds between plans.  A plan may take seconds of CPU time, and a move
+        pays for its load only over minutes, so planning more often costs time
+        without a benefit.
     layers_per_s : float
-        Rate of one load from the store of weights.
+        Rate of one load from the weight store.
     """
 
     zone: str
@@ -47,7 +48,7 @@
         "_directory",
         "_sender",
         "_links",
-        "_moves_of",
+        "_plan_moves",
         "plans",
     )
 
@@ -58,14 +59,14 @@
         directory: TargetDirectory,
         sender: OrderSender,
         links: Sequence[Link] = (),
-        moves_of: MovesOf = propose_moves,
+        plan_moves: MovePlanner = propose_moves,
     ):
         self._settings = settings
         self._lease = lease
         self._directory = directory
         self._sender = sender
         self._links = links
-        self._moves_of = moves_of
+        self._plan_moves = plan_moves
         self.plans = 0
 
     async def run(self, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED):
@@ -77,14 +78,14 @@
                 await self.plan()
 
     async def plan(self) -> None:
-        """Work out the moves that pay, and propose them."""
+        """Compute the moves that are worth their cost, and propose them."""
         orders: list[ProposedOrder] = []
         store = Store(self._settings.layers_per_s, self._settings.concurrent_loads)
         for targets in self._groups():
-            # Solving flows takes up to seconds; on the event loop every stream
-            # of this host would stand still for as long.
+            # Solving flows may take seconds; on the event loop it would stall
+            # every stream of this host for that time.
             moves = await trio.to_thread.run_sync(
-                self._moves_of, targets, self._links, self._settings.zone, store
+                self._plan_moves, targets, self._links, self._settings.zone, store
             )
             orders += [_order_for(move) for move in moves]
         self.plans += 1
--- a/radishfield/fleet/_profiles.py
+++ b/radishfield/fleet/_profiles.py
@@ -1,9 +1,9 @@
-"""Profiles in force: published, changed and retired by conditional writes.
+"""Stores profiles, which conditional writes publish, change and retire.
 
-Each accepted change raises a profile's version by one.  Hosts hear of it from
-the platform or from peers, in any order and more than once, and only move up.
-A retired profile stays as a tombstone with the highest version, so that no
-stale copy brings it back; its name is not given out again.
+Each accepted change raises a profile's version by one.  Hosts receive it from
+the platform or from peers, in any order and more than once, and never go back
+to a lower version.  A retired profile stays as a tombstone with the highest
+version, so that no stale copy restores it; its name cannot be used again.
 """
 
 import dataclasses
@@ -28,27 +28,28 @@
 
 PROFILE_KIND = "profile"
 
-PAST_CHANGES_KEPT = 8
-"""A change that took effect unheard is still found after so many later ones."""
+MAX_PAST_CHANGES = 8
+"""Number of later changes after which a change whose answer was lost is still found
+in the stored profile."""
 
 MAX_NAME_LENGTH = 128
-LONGEST_DEADLINE_S = 3_600.0
+MAX_DEADLINE_S = 3_600.0
 
-SPREAD_WAIT_S = 2.0
-"""Seconds after which a host that knows no profiles suggests to come back."""
+UNKNOWN_RETRY_AFTER_S = 2.0
+"""Retry-after time in seconds that a host without any profiles yet returns."""
 
 
 @dataclass(slots=True, frozen=True)
 class StoredProfile(Profile):
-    """A profile as it is stored, with the identities of the last changes."""
+    """A profile as it is stored, with the ids of the most recent changes."""
 
     past_change_ids: tuple[str, ...] = ()
 
 
 class ProfileStore:
-    """The profiles that this host has in force, and the way to change them.
+    """The profiles that are active at this host, and operations to change them.
 
-    ``changes`` counts the versions that came in force here.
+    ``changes`` counts the versions that became active here.
     """
 
     __slots__ = (
@@ -79,16 +80,16 @@
             self._take_in(fact)
 
     def find(self, name: str) -> Result[Profile, Fault]:
-        """Return the profile in force, or why there is none."""
+        """Return the active profile, or why there is none."""
         profile = self._profile_by_name.get(name)
         if profile is None:
-            return Error(self._why_none(name))
+            return Error(self._missing_fault(name))
         if profile.retired:
             return Error(fault(ResultCode.PROFILE_RETIRED, name))
         return Ok(profile)
 
     def names(self) -> Sequence[str]:
-        """Return the names of the profiles in force."""
+        """Return the names of the active profiles."""
         return [
             name
             for name, profile in self._profile_by_name.items()
@@ -96,27 +97,27 @@
         ]
 
     def all_profiles(self) -> Sequence[Profile]:
-        """Return the profiles in force and the retired ones, by name."""
+        """Return the active and the retired profiles, sorted by name."""
         return [profile for _, profile in sorted(self._profile_by_name.items())]
 
     def show(self, name: str) -> Result[Profile, Fault]:
-        """Return a profile as known here, also a retired one."""
+        """Return a profile as this host knows it, also a retired one."""
         profile = self._profile_by_name.get(name)
-        return Error(self._why_none(name)) if profile is None else Ok(profile)
+        return Error(self._missing_fault(name)) if profile is None else Ok(profile)
 
     def version_by_name(self) -> dict[str, int]:
-        """Return the version in force here of every profile."""
+        """Return the version of every profile at this host, also of retired ones."""
         return {
             name: profile.version for name, profile in self._profile_by_name.items()
         }
 
     async def wait_version(self, name: str, version: int) -> None:
-        """Wait until a profile is in force here in that version or a later one."""
+        """Wait until this host has a profile in that version or a later one."""
         while self.version_by_name().get(name, 0) < version:
             await self._changed.wait()
 
     async def publish(self, profile: Profile) -> Result[Profile, Fault]:
-        """Publish a profile under a name that was never used."""
+        """Publish a profile under a name that has never been used."""
         problem = _check(profile)
         if problem is not None:
             return Error(problem)
@@ -126,7 +127,7 @@
     async def change(
         self, profile: Profile, expected_version: int | None = None
     ) -> Result[Profile, Fault]:
-        """Replace the profile of that name; see `FleetOperations`."""
+        """Replace the profile of the same name; see `FleetOperations`."""
         problem = _check(profile)
         if problem is not None:
             return Error(problem)
@@ -135,46 +136,46 @@
     async def retire(
         self, name: str, expected_version: int | None = None
     ) -> Result[Profile, Fault]:
-        """Retire a profile for good."""
+        """Retire a profile permanently."""
         return await self._replace(name, None, expected_version)
 
     async def _replace(
         self, name: str, changed: Profile | None, expected_version: int | None
     ) -> Result[Profile, Fault]:
-        """Write ``changed``, or the tombstone of what is stored, over a profile."""
+        """Overwrite a stored profile with ``changed``, or with its tombstone."""
         read = await self._platform.read(PROFILE_KIND, name)
         if read.is_error():
             return Error(_as_change_fault(read.error, name))
         stored = _decode(read.ok)
         if stored.is_error():
             return Error(stored.error)
-        present = stored.ok
-        if present.retired:
+        current = stored.ok
+        if current.retired:
             return Error(fault(ResultCode.PROFILE_RETIRED, name))
-        if expected_version not in (None, present.version):
-            return Error(_conflict(present))
-        draft = dataclasses.replace(present, retired=True)
+        if expected_version not in (None, current.version):
+            return Error(_conflict(current))
+        draft = dataclasses.replace(current, retired=True)
         if changed is not None:
             draft = StoredProfile(**_fields(changed))
-        return await self._write(draft, present, read.ok.version)
+        return await self._write(draft, current, read.ok.version)
 
     async def _write(
-        self, draft: StoredProfile, present: StoredProfile | None, stored_version: int
+        self, draft: StoredProfile, current: StoredProfile | None, stored_version: int
     ) -> Result[Profile, Fault]:
-        """Write the next version under an identity of its own, and settle it."""
+        """Write the next version with a new change id, and confirm the write."""
         change_id = self._new_change_id()
-        past_ids = () if present is None else _change_ids(present)
+        past_ids = () if current is None else _change_ids(current)
         profile = dataclasses.replace(
             draft,
-            version=1 if present is None else present.version + 1,
+            version=1 if current is None else current.version + 1,
             change_id=change_id,
-            past_change_ids=past_ids[:PAST_CHANGES_KEPT],
+            past_change_ids=past_ids[:MAX_PAST_CHANGES],
         )
         value = msgspec.json.encode(profile)
         written = await write_settled(
             self._platform,
             StoredObject(PROFILE_KIND, profile.name, stored_version, value),
-            lambda stored_value: _carries(stored_value, change_id),
+            lambda stored_value: _contains_change(stored_value, change_id),
         )
         match written:
             case Result(tag="ok", ok=stored):
@@ -184,7 +185,7 @@
                 return Error(await self._explain(problem, profile))
 
     async def _explain(self, problem: Fault, wanted: StoredProfile) -> Fault:
-        """Say what won, where another change did."""
+        """Return the fault of a failed write, with the change that won a conflict."""
         if problem.code is ResultCode.PLATFORM_AMBIGUOUS:
             detail = f"change {wanted.change_id} of {wanted.name}: {problem.detail}"
             return fault(ResultCode.CHANGE_AMBIGUOUS, detail)
@@ -208,9 +209,9 @@
             return
         profile = Profile(**_fields(decoded.ok))
         known = self._profile_by_name.get(fact.name)
-        # The platform's version of the object orders the facts; the profile's
-        # own version is checked as well, because it is what operators see and
-        # what is promised never to go back.
+        # The platform's version of the object orders the facts.  The profile's
+        # own version is checked as well, because operators see that one and it
+        # is guaranteed never to decrease.
         if known is not None and known.version >= profile.version:
             return
         self._profile_by_name[fact.name] = profile
@@ -218,11 +219,11 @@
         self._changed.set()
         self._changed = trio.Event()
 
-    def _why_none(self, name: str) -> Fault:
+    def _missing_fault(self, name: str) -> Fault:
         if self._facts.is_known:
             return fault(ResultCode.UNKNOWN_PROFILE, name)
-        detail = "no profiles heard of since the start"
-        return fault(ResultCode.PROFILES_UNKNOWN, detail, SPREAD_WAIT_S)
+        detail = "no profiles received since the start"
+        return fault(ResultCode.PROFILES_UNKNOWN, detail, UNKNOWN_RETRY_AFTER_S)
 
 
 def _fields(profile: Profile) -> dict[str, object]:
@@ -242,23 +243,23 @@
     except msgspec.DecodeError as problem:
         return Error(fault(ResultCode.PLATFORM_MALFORMED, str(problem)))
     if profile.version == 0:
-        # Written by hand, without a version: the platform's own stands for it.
+        # Written by hand, without a version: use the platform's version.
         profile = dataclasses.replace(profile, version=stored.version)
     return Ok(profile)
 
 
-def _carries(value: bytes, change_id: str) -> bool:
+def _contains_change(value: bytes, change_id: str) -> bool:
     decoded = _decode(StoredObject(PROFILE_KIND, "", 1, value))
     return decoded.is_ok() and change_id in _change_ids(decoded.ok)
 
 
 def _check(profile: Profile) -> Fault | None:
-    """Return why a profile cannot be published, if so."""
+    """Return why a profile cannot be published, or None."""
     if not 0 < len(profile.name) <= MAX_NAME_LENGTH:
         return fault(ResultCode.CHANGE_INVALID, "name: 1 to 128 characters")
     if not profile.model:
         return fault(ResultCode.CHANGE_INVALID, "model: missing")
-    if not 0 < profile.deadline_s <= LONGEST_DEADLINE_S:
+    if not 0 < profile.deadline_s <= MAX_DEADLINE_S:
         return fault(ResultCode.CHANGE_INVALID, "deadline_s: above 0, up to 3600")
     return None
 
--- a/radishfield/fleet/_spread.py
+++ b/radishfield/fleet/_spread.py
@@ -1,11 +1,12 @@
-"""How facts reach every entry host: told at once, repaired by digests.
-
-A host that learns a newer fact tells a few others at once, most of them in its
-own zone.  Each passes it on once, so a change reaches 340 hosts in about five
-hops.  Datagrams get lost and the choice is random, so a few in a hundred miss
-it; heartbeats carry a digest of all facts, and two hosts whose digests differ
-exchange what either lacks.  The same exchange fills a host that has just
-started, also when its zone is cut off from the platform.
+"""Spreads facts to every entry host by gossip, and repairs gaps with digests.
+
+A host that learns a newer fact sends it to a few others at once, most of them in
+its own zone.  Each forwards it once, so a change reaches 340 hosts in about five
+hops.  Datagrams get lost and receivers are chosen at random, so a few hosts in a
+hundred miss it.  Heartbeats carry a digest of all facts, and two hosts whose
+digests differ exchange the facts that either lacks.  The same exchange fills the
+table of a host that has just started, also when its zone is disconnected from
+the platform.
 """
 
 import random
@@ -34,27 +35,28 @@
 
 ZONE_FAN_OUT = 2
 OTHER_FAN_OUT = 2
-"""With four told by each host, about e**-4, 2 in a hundred, are left to digests."""
+"""With four receivers for each host, about e**-4, 2 in a hundred, miss a fact and get
+it through digests."""
 
-BATCH_BYTES = 900
-"""Payload of one datagram; with its frame it stays below an Ethernet packet."""
+MAX_BATCH_BYTES = 900
+"""Maximum payload of a datagram; with its headers it fits into an Ethernet packet."""
 
-EXCHANGE_BYTES = 512 * 1024
-"""Facts of one exchange; a larger difference takes several."""
+MAX_EXCHANGE_BYTES = 512 * 1024
+"""Size of the facts in one exchange; a larger difference takes several."""
 
-TOLD_BYTES_PER_S = 600.0
-TOLD_BURST_BYTES = 24_000.0
-"""Keeps a storm of facts within the host's share of 3 KB a second."""
+SEND_BYTES_PER_S = 600.0
+SEND_BURST_BYTES = 24_000.0
+"""Limits that keep a burst of facts within the host's share of 3 KB a second."""
 
 SYNC_PAUSE_S = 0.5
-"""Between exchanges; a fact still on its way makes many digests differ."""
+"""Time between exchanges: while a fact is still spreading, many digests differ."""
 
-ASK_TIMEOUT_S = 2.0
+QUERY_TIMEOUT_S = 2.0
 
 
 @dataclass(slots=True, frozen=True)
 class SpreadSettings:
-    """Who this host is."""
+    """Identity of this host."""
 
     host: str
     zone: str
@@ -65,23 +67,23 @@
 
     Attributes
     ----------
-    exchanges, told_bytes, malformed : int
+    exchanges, sent_bytes, malformed : int
         Counters for the metrics.
     """
 
     __slots__ = (
-        "_chance",
+        "_rng",
         "_clock",
-        "_differing",
+        "_differing_members",
         "_facts",
-        "_fresh",
-        "_level",
-        "_level_at",
+        "_unsent_added",
+        "_budget_bytes",
+        "_budget_updated_at",
         "_peers",
         "_settings",
         "exchanges",
         "malformed",
-        "told_bytes",
+        "sent_bytes",
     )
 
     def __init__(
@@ -90,43 +92,43 @@
         peers: PeerMessages,
         facts: FactTable,
         clock: Clock,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
     ):
         self._settings = settings
         self._peers = peers
         self._facts = facts
         self._clock = clock
-        self._chance = chance or random.Random()
-        self._fresh = trio.Event()
-        self._differing: dict[str, None] = {}
-        self._level = TOLD_BURST_BYTES
-        self._level_at = clock.now()
+        self._rng = rng or random.Random()
+        self._unsent_added = trio.Event()
+        self._differing_members: dict[str, None] = {}
+        self._budget_bytes = SEND_BURST_BYTES
+        self._budget_updated_at = clock.now()
         self.exchanges = 0
-        self.told_bytes = 0
+        self.sent_bytes = 0
         self.malformed = 0
-        facts.listen("", lambda fact: self._fresh.set())
-        peers.hear(FACTS_TOPIC, self._hear)
+        facts.listen("", lambda fact: self._unsent_added.set())
+        peers.hear(FACTS_TOPIC, self._receive)
         peers.answer(DIGESTS_TOPIC, self._answer_digests)
         peers.answer(EXCHANGE_TOPIC, self._answer_exchange)
-        peers.compare_state(facts.digest, self._differs)
+        peers.compare_state(facts.digest, self._add_differing)
 
     async def run(self, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED):
-        """Tell, exchange and, after a start, fill the table; until cancelled."""
+        """Send and exchange facts, and fill the table at the start, until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._tell_fresh)
+            nursery.start_soon(self._send_unsent)
             nursery.start_soon(self._exchange_differing)
-            nursery.start_soon(self._fill)
+            nursery.start_soon(self._fill_table)
             task_status.started()
 
     async def exchange(self, member_id: str) -> Result[None, Fault]:
-        """Make this table and a member's equal, up to a bound in bytes."""
+        """Make this table and a member's equal, up to `MAX_EXCHANGE_BYTES`."""
         self.exchanges += 1
         digests = self._facts.bucket_digests()
-        question = _wire.encode_sync_question(digests)
-        asked = await self._peers.ask(member_id, DIGESTS_TOPIC, question, ASK_TIMEOUT_S)
-        if asked.is_error():
-            return Error(asked.error)
-        decoded = _wire.decode_sync_answer(asked.ok)
+        query = _wire.encode_sync_question(digests)
+        answer = await self._peers.ask(member_id, DIGESTS_TOPIC, query, QUERY_TIMEOUT_S)
+        if answer.is_error():
+            return Error(answer.error)
+        decoded = _wire.decode_sync_answer(answer.ok)
         if decoded.is_error():
             return Error(decoded.error)
         is_known, theirs, their_digests = decoded.ok
@@ -134,48 +136,48 @@
         offered = _bounded(self._facts.newer_than(theirs, their_digests))
         if wanted or offered:
             payload = _wire.encode_exchange(wanted, offered)
-            got = await self._peers.ask(
-                member_id, EXCHANGE_TOPIC, payload, ASK_TIMEOUT_S
+            received = await self._peers.ask(
+                member_id, EXCHANGE_TOPIC, payload, QUERY_TIMEOUT_S
             )
-            problem = self._learn_all(got)
+            problem = self._learn_all(received)
             if problem is not None:
                 return Error(problem)
         if is_known and not self._facts.older_than(theirs):
             self._facts.is_known = True
         return Ok(None)
 
-    async def _tell_fresh(self) -> None:
+    async def _send_unsent(self) -> None:
         while True:
-            await self._fresh.wait()
-            self._fresh = trio.Event()
-            for batch in _batches(self._facts.take_fresh()):
+            await self._unsent_added.wait()
+            self._unsent_added = trio.Event()
+            for batch in _batches(self._facts.take_unsent()):
                 payload = _wire.encode_facts(batch)
                 chosen = choose_fan_out(
-                    self._peers.members(), self._settings, self._chance
+                    self._peers.members(), self._settings, self._rng
                 )
-                await self._pay(len(payload) * len(chosen))
+                await self._wait_for_budget(len(payload) * len(chosen))
                 await self._peers.tell(chosen, FACTS_TOPIC, payload)
 
-    async def _pay(self, size: int) -> None:
-        """Wait until the budget of told bytes allows for so many more."""
+    async def _wait_for_budget(self, size: int) -> None:
+        """Spend ``size`` bytes of the send budget, and wait while it is overdrawn."""
         now = self._clock.now()
-        refill = (now - self._level_at) * TOLD_BYTES_PER_S
-        self._level = min(TOLD_BURST_BYTES, self._level + refill) - size
-        self._level_at = now
-        self.told_bytes += size
-        if self._level < 0:
-            await trio.sleep(-self._level / TOLD_BYTES_PER_S)
+        refill = (now - self._budget_updated_at) * SEND_BYTES_PER_S
+        self._budget_bytes = min(SEND_BURST_BYTES, self._budget_bytes + refill) - size
+        self._budget_updated_at = now
+        self.sent_bytes += size
+        if self._budget_bytes < 0:
+            await trio.sleep(-self._budget_bytes / SEND_BYTES_PER_S)
 
     async def _exchange_differing(self) -> None:
         while True:
-            await trio.sleep(SYNC_PAUSE_S * self._chance.uniform(0.5, 1.5))
-            if self._differing:
-                member_id = self._chance.choice(list(self._differing))
-                self._differing.clear()
+            await trio.sleep(SYNC_PAUSE_S * self._rng.uniform(0.5, 1.5))
+            if self._differing_members:
+                member_id = self._rng.choice(list(self._differing_members))
+                self._differing_members.clear()
                 await self.exchange(member_id)
 
-    async def _fill(self) -> None:
-        """Learn from peers, of this zone first, until the table is known."""
+    async def _fill_table(self) -> None:
+        """Exchange with peers, those of this zone first, until the table is filled."""
         while not self._facts.is_known:
             members = [
                 member
@@ -189,14 +191,14 @@
                     await self.exchange(member.id)
             await trio.sleep(SYNC_PAUSE_S)
 
-    def _hear(self, sender: str, payload: bytes) -> None:
+    def _receive(self, sender: str, payload: bytes) -> None:
         self._learn_all(Ok(payload))
 
     def _learn_all(self, payload: Result[bytes, Fault]) -> Fault | None:
         facts = payload.bind(_wire.decode_facts)
         match facts:
             case Result(tag="ok", ok=batch):
-                # What fills a new host's table is old news to everybody else.
+                # The facts that fill a new host's table are known to all others.
                 spread = self._facts.is_known
                 for fact in batch:
                     self._facts.learn(fact, spread)
@@ -205,8 +207,8 @@
                 self.malformed += problem.code is ResultCode.BAD_FRAME
                 return problem
 
-    def _differs(self, member_id: str) -> None:
-        self._differing[member_id] = None
+    def _add_differing(self, member_id: str) -> None:
+        self._differing_members[member_id] = None
 
     async def _answer_digests(
         self, sender: str, payload: bytes
@@ -216,7 +218,7 @@
             return Error(decoded.error)
         answer = _wire.encode_sync_answer(
             self._facts.is_known,
-            self._facts.versions_where(decoded.ok),
+            self._facts.versions_in_differing_buckets(decoded.ok),
             self._facts.bucket_digests(),
         )
         return Ok(answer)
@@ -233,17 +235,17 @@
         found = (self._facts.find(item.kind, item.name) for item in wanted)
         facts = _bounded([fact for fact in found if fact is not None])
         if wanted and not facts:
-            return Error(fault(ResultCode.PEER_STALE, "nothing newer"))
+            return Error(fault(ResultCode.PEER_STALE, "no newer facts"))
         return Ok(_wire.encode_facts(facts))
 
 
 def choose_fan_out(
-    members: Sequence[Member], settings: SpreadSettings, chance: random.Random
+    members: Sequence[Member], settings: SpreadSettings, rng: random.Random
 ) -> Sequence[str]:
-    """Return whom to tell: some of this zone, and some of the others.
+    """Return the members to send to: some of this zone, and some of others.
 
-    Where a zone has too few hosts, the others take its share, so that a zone
-    of one host still tells four.
+    Where a zone has too few hosts, hosts of other zones take their share, so that
+    the only host of a zone still sends to four.
     """
     live = [
         member
@@ -251,14 +253,14 @@
         if member.state in (MemberState.LIVE, MemberState.LEAVING)
         and member.id != settings.host
     ]
-    near = [member.id for member in live if member.zone == settings.zone]
-    far = [member.id for member in live if member.zone != settings.zone]
-    chance.shuffle(near)
-    chance.shuffle(far)
+    in_zone = [member.id for member in live if member.zone == settings.zone]
+    in_others = [member.id for member in live if member.zone != settings.zone]
+    rng.shuffle(in_zone)
+    rng.shuffle(in_others)
     fan_out = ZONE_FAN_OUT + OTHER_FAN_OUT
-    far_count = max(OTHER_FAN_OUT, fan_out - len(near))
-    chosen_far = far[:far_count]
-    return near[: fan_out - len(chosen_far)] + chosen_far
+    other_count = max(OTHER_FAN_OUT, fan_out - len(in_zone))
+    chosen_others = in_others[:other_count]
+    return in_zone[: fan_out - len(chosen_others)] + chosen_others
 
 
 def _size(fact: StoredObject) -> int:
@@ -266,28 +268,31 @@
 
 
 def _batches(facts: Sequence[StoredObject]) -> Sequence[Sequence[StoredObject]]:
-    """Pack facts into datagrams; one too large for any is left to digests."""
+    """Pack facts into datagrams.
+
+    Facts too large for a datagram are skipped; peers get them through digests.
+    """
     batches: list[list[StoredObject]] = []
-    left = 0
+    free_bytes = 0
     for fact in facts:
         size = _size(fact)
-        if size > BATCH_BYTES:
+        if size > MAX_BATCH_BYTES:
             continue
-        if size > left:
+        if size > free_bytes:
             batches.append([])
-            left = BATCH_BYTES
+            free_bytes = MAX_BATCH_BYTES
         batches[-1].append(fact)
-        left -= size
+        free_bytes -= size
     return batches
 
 
 def _bounded(facts: Sequence[StoredObject]) -> Sequence[StoredObject]:
-    """Return as many facts as one exchange carries, at least one."""
+    """Return the first facts that fit into one exchange, at least one."""
     bounded: list[StoredObject] = []
-    left = EXCHANGE_BYTES
+    free_bytes = MAX_EXCHANGE_BYTES
     for fact in facts:
-        left -= _size(fact)
-        if left < 0 and bounded:
+        free_bytes -= _size(fact)
+        if free_bytes < 0 and bounded:
             break
         bounded.append(fact)
     return bounded
--- a/radishfield/fleet/_status.py
+++ b/radishfield/fleet/_status.py
@@ -1,4 +1,4 @@
-"""What operators see of the fleet, as typed values."""
+"""Types of the fleet status that operators see."""
 
 import enum
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 
 
 class DrainKind(enum.StrEnum):
-    """What an operator drains."""
+    """The kind of object that an operator drains."""
 
     TARGET = "target"
     HOST = "host"
@@ -16,14 +16,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Drain:
-    """An operator's order that something gets no new work.
+    """An operator's instruction to exclude something from new work.
 
     Attributes
     ----------
     active : bool
-        False after the drain was taken back; the object stays in the platform.
+        False after the drain was revoked; the object stays in the platform.
     change_id : str
-        Identity of the change, which settles a write whose answer was lost.
+        Identifies the change, to confirm a write whose answer was lost.
     """
 
     kind: DrainKind
@@ -33,7 +33,7 @@
 
 
 class ZoneReach(enum.StrEnum):
-    """What this host can say of a zone."""
+    """Whether this host can reach a zone's entry hosts."""
 
     REACHABLE = "reachable"
     CUT_OFF = "cut-off"
@@ -42,13 +42,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ZoneStatus:
-    """An availability zone as this host sees it.
+    """Status of an availability zone as known to this host.
 
     Attributes
     ----------
     reach : ZoneReach
-        ``CUT_OFF``: its entry hosts were known and none answers any more.
-        ``SILENT``: it has targets or hosts, and no entry host was ever heard.
+        ``CUT_OFF``: its entry hosts are known, and none answers any more.
+        ``SILENT``: it has targets or hosts, and none of its entry hosts was ever
+        known.
     """
 
     zone: str
@@ -59,10 +60,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ProfileInZone:
-    """Which version of a profile the entry hosts of one zone have in force.
+    """Which versions of a profile are active at the entry hosts of one zone.
 
     ``lowest_version`` is 0 where a host that answered does not have it yet.
-    A zone where ``hosts_answered`` is 0 is cut off or silent.
+    If ``hosts_answered`` is 0, the zone is disconnected or silent.
     """
 
     name: str
@@ -75,7 +76,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseStatus:
-    """A lease as this host knows it."""
+    """Status of a lease as known to this host."""
 
     duty: str
     zone: str
@@ -87,16 +88,16 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetStatus:
-    """All that one entry host knows of the fleet.
+    """Status of the fleet as known to one entry host.
 
     Attributes
     ----------
     targets : tuple of Target
-        With the state that this host acts on.
+        The targets, with the state that this host uses.
     profiles_in_zones : tuple of ProfileInZone
-        Asked from the entry hosts at the time of the call.
+        Queried from the entry hosts at the time of the call.
     platform_heard_s_ago : float or None
-        Seconds since the platform last answered this host; None: never.
+        Seconds since the platform last answered this host; None if it never did.
     """
 
     host: str
--- a/radishfield/fleet/_watcher.py
+++ b/radishfield/fleet/_watcher.py
@@ -1,13 +1,13 @@
-"""The few hosts of a zone that watch the platform for all of it.
+"""Watches the platform from a few hosts of each zone.
 
-The platform counts a waiting watch as a call, and its rates grow more slowly
-than the fleet.  So two members of each zone watch and list, chosen by
-rendezvous hashing; the others hear of changes from them.  Adding hosts to a
-zone adds no calls.
+The platform counts a waiting watch as a call, and its rate limits grow more
+slowly than the fleet.  So only two members of each zone, chosen by rendezvous
+hashing, watch and list; the others receive changes from them.  Adding hosts to
+a zone adds no calls.
 
-A watch may skip events.  The periodic list finds what it skipped, at the
-latest after `WatcherSettings.list_period_s`; a revision that the platform no
-longer remembers (``WATCH_GAP``) is answered by a list at once.
+A watch may skip events.  The periodic list finds skipped events at the latest
+after `WatcherSettings.list_period_s`.  If the platform no longer has a revision
+(``WATCH_GAP``), the watcher lists at once.
 """
 
 import random
@@ -33,15 +33,15 @@
 WATCHED_KINDS = ("profile", "target", "drain", "host")
 
 REACH_KIND = "reach"
-"""Facts by which a host says that it lost, or regained, the platform."""
+"""Kind of the facts that announce whether a host can reach the platform."""
 
 WATCHERS_PER_ZONE = 2
-"""One may die or lose the platform without anybody noticing a delay."""
+"""With two, one may die or lose the platform without delaying changes."""
 
-FAILURES_UNTIL_LOST = 3
-"""One lost call is common; three in a row, backed off, are about a second."""
+FAILURES_UNTIL_UNREACHABLE = 3
+"""A single lost call is common; three in a row, with backoff, take about a second."""
 
-LONGEST_WAIT_S = 8.0
+MAX_BACKOFF_S = 8.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -51,10 +51,11 @@
     Attributes
     ----------
     watch_s : float
-        How long a watch waits; a dead connection is noticed only after it.
+        How long a watch waits.  A dead connection is detected only after that.
     list_period_s : float
-        Seconds between lists, the bound on a skipped event.  A change has to
-        be in force within 8 s, and a list of 500 profiles costs one call.
+        Seconds between lists, which bounds the delay of a skipped event.  A
+        change has to be active within 8 s, and a list of 500 profiles costs
+        one call.
     hosts_period_s : float
         Seconds between reads of the host list.
     """
@@ -72,16 +73,16 @@
     Parameters
     ----------
     on_hosts : callable
-        Gets each host listing that this host reads.
+        Called with each host listing that this host reads.
 
     Attributes
     ----------
     last_answer_at : float or None
-        Clock reading at the platform's last answer to this service.
+        Clock time of the platform's last answer to this service.
     """
 
     __slots__ = (
-        "_chance",
+        "_rng",
         "_clock",
         "_facts",
         "_failures",
@@ -109,46 +110,46 @@
         self._facts = facts
         self._clock = clock
         self._on_hosts = on_hosts
-        self._chance = chance or random.Random()
+        self._rng = chance or random.Random()
         self._failures = 0
         self.gaps = 0
         self.last_answer_at: float | None = None
 
     async def run(self, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED):
-        """Watch each kind in a task of its own, until cancelled."""
+        """Watch each kind in a separate task, until cancelled."""
         async with trio.open_nursery() as nursery:
             for kind in WATCHED_KINDS:
-                nursery.start_soon(self._keep, kind)
-            nursery.start_soon(self._keep_hosts)
+                nursery.start_soon(self._sync_kind, kind)
+            nursery.start_soon(self._poll_hosts)
             task_status.started()
 
     def watchers(self) -> Sequence[str]:
-        """Return the members of this zone that are to watch now."""
+        """Return the members of this zone that watch the platform."""
         ids = {
             member.id
             for member in self._peers.members()
             if member.zone == self._settings.zone and member.state is MemberState.LIVE
         }
         ids.add(self._settings.host)
-        in_order = ranked(ids, f"watch {self._settings.zone}")
-        # A watcher that lost the platform steps back for one that has not, or
-        # the whole zone would be blind behind two hosts with a bad path.
-        in_order.sort(key=self._has_lost_platform)
-        return in_order[:WATCHERS_PER_ZONE]
+        ranked_ids = ranked(ids, f"watch {self._settings.zone}")
+        # Members that lost the platform rank last.  Otherwise the whole zone would
+        # receive no changes while its two watchers have a bad network path.
+        ranked_ids.sort(key=self._has_lost_platform)
+        return ranked_ids[:WATCHERS_PER_ZONE]
 
-    async def _keep(self, kind: str) -> None:
+    async def _sync_kind(self, kind: str) -> None:
         is_first = True
         while True:
-            if not await self._is_my_turn():
+            if not await self._is_on_duty():
                 is_first = True
                 continue
             listed = await self._platform.list(kind)
             if listed.is_error():
-                await self._failed(listed.error)
+                await self._back_off(listed.error)
                 continue
-            self._answered()
-            # The first list after a start or a change of duty is old news to
-            # the peers; digests carry what they should lack all the same.
+            self._record_success()
+            # Peers already have the first list after a start or a change of duty;
+            # facts that they lack reach them through digests.
             for stored in listed.ok.objects:
                 self._facts.learn(stored, spread=not is_first)
             is_first = False
@@ -159,67 +160,67 @@
     async def _watch(self, kind: str, revision: int) -> None:
         """Watch until the next list is due, or until a call fails."""
         list_at = self._clock.now() + self._settings.list_period_s
-        while (left_s := list_at - self._clock.now()) > 0:
+        while (remaining_s := list_at - self._clock.now()) > 0:
             watched = await self._platform.watch(
-                kind, revision, min(left_s, self._settings.watch_s)
+                kind, revision, min(remaining_s, self._settings.watch_s)
             )
             if watched.is_error():
                 if watched.error.code is ResultCode.WATCH_GAP:
                     self.gaps += 1
                     return
-                await self._failed(watched.error)
+                await self._back_off(watched.error)
                 return
-            self._answered()
+            self._record_success()
             revision = watched.ok.revision
-            self._take_in(watched.ok.objects)
+            self._learn_all(watched.ok.objects)
 
-    async def _keep_hosts(self) -> None:
+    async def _poll_hosts(self) -> None:
         while True:
-            if not await self._is_my_turn():
+            if not await self._is_on_duty():
                 if self._failures:
-                    await self._probe_again()
+                    await self._probe_platform()
                 continue
             listed = await self._platform.hosts()
             match listed:
                 case Result(tag="ok", ok=listing):
-                    self._answered()
+                    self._record_success()
                     self._on_hosts(listing)
                     await trio.sleep(self._settings.hosts_period_s)
                 case Result(tag="error", error=problem):
-                    await self._failed(problem)
+                    await self._back_off(problem)
 
-    async def _is_my_turn(self) -> bool:
-        """Tell whether this host watches; wait a little if it does not."""
+    async def _is_on_duty(self) -> bool:
+        """Return whether this host watches, after a second's wait if it does not."""
         if self._settings.host in self.watchers():
             return True
         await trio.sleep(1.0)
         return False
 
-    async def _probe_again(self) -> None:
-        """Find out, at a low rate, whether a lost platform is back."""
-        await trio.sleep(self._chance.uniform(LONGEST_WAIT_S, 2 * LONGEST_WAIT_S))
+    async def _probe_platform(self) -> None:
+        """Check at a low rate whether a lost platform is reachable again."""
+        await trio.sleep(self._rng.uniform(MAX_BACKOFF_S, 2 * MAX_BACKOFF_S))
         if (await self._platform.hosts()).is_ok():
-            self._answered()
+            self._record_success()
 
-    def _take_in(self, objects: Sequence[StoredObject]) -> None:
+    def _learn_all(self, objects: Sequence[StoredObject]) -> None:
         for stored in objects:
             self._facts.learn(stored)
 
-    def _answered(self) -> None:
+    def _record_success(self) -> None:
         self.last_answer_at = self._clock.now()
         self._failures = 0
         if self._has_lost_platform(self._settings.host):
-            self._tell_reach(b"")
+            self._announce_reach(b"")
 
-    async def _failed(self, problem: Fault) -> None:
+    async def _back_off(self, problem: Fault) -> None:
         self._failures += 1
-        if self._failures == FAILURES_UNTIL_LOST:
-            self._tell_reach(b"lost")
-        ceiling_s = min(LONGEST_WAIT_S, 0.25 * 2 ** min(self._failures, 8))
-        wait_s = self._chance.uniform(ceiling_s / 2, ceiling_s)
+        if self._failures == FAILURES_UNTIL_UNREACHABLE:
+            self._announce_reach(b"lost")
+        ceiling_s = min(MAX_BACKOFF_S, 0.25 * 2 ** min(self._failures, 8))
+        wait_s = self._rng.uniform(ceiling_s / 2, ceiling_s)
         await trio.sleep(max(wait_s, problem.retry_after_s or 0.0))
 
-    def _tell_reach(self, value: bytes) -> None:
+    def _announce_reach(self, value: bytes) -> None:
         host = self._settings.host
         known = self._facts.find(REACH_KIND, host)
         version = 1 if known is None else known.version + 1
--- a/radishfield/fleet/directory_test.py
+++ b/radishfield/fleet/directory_test.py
@@ -1,4 +1,4 @@
-"""Tests of which targets get new work, and of who asks them for their load."""
+"""Tests of which targets get new work, and of which hosts poll their load."""
 
 import random
 from collections import Counter
@@ -33,8 +33,8 @@
 )
 
 
-class StillClock:
-    """A clock that a test moves."""
+class ManualClock:
+    """A clock that advances only when a test sets its time."""
 
     def __init__(self):
         self.time = 0.0
@@ -44,13 +44,13 @@
 
 
 class FakePeers:
-    """Members without a network; what is told goes to the other pollers."""
+    """Members without a network; datagrams go straight to the other pollers."""
 
     def __init__(self, members):
         self._members = members
-        self.hearers = {}
+        self.handler_by_topic = {}
         self.peers_by_id = {}
-        self.told = []
+        self.sent = []
 
     def members(self):
         return self._members
@@ -59,12 +59,12 @@
         self.seeds = list(addresses)
 
     def hear(self, topic, handler):
-        self.hearers[topic] = handler
+        self.handler_by_topic[topic] = handler
 
     async def tell(self, member_ids, topic, payload):
-        self.told.append((tuple(member_ids), topic, payload))
+        self.sent.append((tuple(member_ids), topic, payload))
         for member_id in member_ids:
-            self.peers_by_id[member_id].hearers[topic]("", payload)
+            self.peers_by_id[member_id].handler_by_topic[topic]("", payload)
 
 
 def target(number=0, zone="z0", **fields):
@@ -83,7 +83,7 @@
 
 class Setup:
     def __init__(self, targets=1):
-        self.clock = StillClock()
+        self.clock = ManualClock()
         self.facts = FactTable()
         self.peers = FakePeers([Member("h0", "z0", "", 1), Member("h1", "z0", "", 1)])
         self.directory = TargetDirectory("z0", self.facts, self.peers, self.clock)
@@ -98,10 +98,10 @@
 
 
 def test_lagging_list_does_not_bring_a_leaving_target_back():
-    """The platform lists a host as leaving, then an older copy as live.
+    """The platform lists a host as leaving, then serves an older copy as live.
 
-    Callers' work must not go to the target again: it is about to vanish.  Only
-    a new incarnation, told by the target itself, ends its leaving.
+    The target is about to stop, so callers' work must not go to it again.  Only
+    a new incarnation, reported by the target itself, ends its leaving state.
     """
     setup = Setup()
     setup.list_host(HostState.LEAVING)
@@ -118,16 +118,16 @@
     assert setup.state() is TargetState.LEAVING
 
 
-def test_refusal_heard_from_a_peer_holds_without_the_platform():
-    """A target tells one host that it leaves; the platform is down.
+def test_leaving_mark_from_a_peer_holds_without_the_platform():
+    """A target reports to one host that it is leaving; the platform is down.
 
-    Another host hears of it as a fact.  A stale fact of an earlier incarnation
-    must not hold back the target's later self.
+    Another host receives this as a fact.  A stale fact of an earlier incarnation
+    must not exclude the target's later incarnation.
     """
     one, other = Setup(), Setup()
     one.directory.observe_report(report(leaving=True))
     assert one.state() is TargetState.LEAVING
-    for fact in one.facts.take_fresh():
+    for fact in one.facts.take_unsent():
         other.facts.learn(fact)
     assert other.state() is TargetState.LEAVING
     other.directory.observe_report(report(incarnation=2))
@@ -156,10 +156,10 @@
 
 
 def test_host_missing_from_an_old_copy_stays_and_a_vanished_one_leaves():
-    """A host is added; a copy of the list from before lacks it, then lists it.
+    """A host is added; an older copy of the list lacks it, a newer one has it.
 
-    Its targets must go on getting work: taken for leaving at once, they would
-    stay out until they restart.  A host that stays missing has vanished.
+    Its targets must still get work: if they were marked as leaving at once, they
+    would stay excluded until they restart.  A host that stays missing is gone.
     """
     setup = Setup(targets=2)
     both = (Host("host0", "z0", address="10.0.0.1:7"), Host("host1", "z0"))
@@ -175,7 +175,7 @@
     assert setup.state("t0") is TargetState.LIVE
 
 
-def test_report_gives_layers_and_an_unchanged_one_wakes_nobody():
+def test_report_sets_layers_and_an_unchanged_one_keeps_the_version():
     setup = Setup()
     setup.directory.observe_report(report())
     assert setup.directory.find("t0").layers == LayerRange(0, 4)
@@ -186,11 +186,11 @@
     assert setup.directory.malformed == 1
 
 
-def test_each_target_is_asked_by_one_host_and_reports_are_shared():
-    """Five hosts of a zone share ten targets; one target answers nothing.
+def test_each_target_is_polled_by_one_host_and_reports_are_shared():
+    """Five hosts of a zone share ten targets; one target does not answer.
 
-    Each is asked by one host, and by a second one when no report comes: the
-    first host may have died, or have no path to the target.
+    Each is polled by one host, and by a second one when no report arrives: the
+    first host may have died, or have no network path to the target.
     """
 
     class Targets:
@@ -205,8 +205,8 @@
         peers_by_id = {member.id: FakePeers(members) for member in members}
         for peers in peers_by_id.values():
             peers.peers_by_id = peers_by_id
-        by_number = list(peers_by_id.values())
-        heard = []
+        all_peers = list(peers_by_id.values())
+        reports = []
         pollers = [
             LoadPoller(
                 PollerSettings(f"h{n}", "z0"),
@@ -215,28 +215,32 @@
                 peers_by_id[f"h{n}"],
                 setup.facts,
                 setup.clock,
-                heard.append,
+                reports.append,
                 random.Random(n),
             )
             for n in range(5)
         ]
 
-        def times_asked():
-            return Counter(t.id for poller in pollers for t in poller.own_targets())
+        def poll_count_by_id():
+            return Counter(
+                t.id for poller in pollers for t in poller.assigned_targets()
+            )
 
         async with trio.open_nursery() as nursery:
             for poller in pollers:
                 await nursery.start(poller.run)
             await trio.sleep(0.5)
-            told = [item for poller in pollers for item in poller._peers.told]
-            assert all(len(receivers) == 4 for receivers, _, _ in told)
-            assert times_asked() == {f"t{n}": 2 if n == 3 else 1 for n in range(10)}
+            sent = [item for poller in pollers for item in poller._peers.sent]
+            assert all(len(receivers) == 4 for receivers, _, _ in sent)
+            assert poll_count_by_id() == {
+                f"t{n}": 2 if n == 3 else 1 for n in range(10)
+            }
             setup.clock.time += 10
-            assert set(times_asked().values()) == {2}
+            assert set(poll_count_by_id().values()) == {2}
             await trio.sleep(15)
-            last = [_wire.decode_loads(peers.told[-1][2]).ok for peers in by_number]
+            last = [_wire.decode_loads(peers.sent[-1][2]).ok for peers in all_peers]
             assert any(batch.briefs for batch in last)
-            assert {a_report.in_flight for a_report in heard} == {1}
+            assert {a_report.in_flight for a_report in reports} == {1}
             (load,) = pollers[0].zone_loads()
             assert load.targets == 9 and load.slots == 72
             nursery.cancel_scope.cancel()
--- a/radishfield/fleet/operations_test.py
+++ b/radishfield/fleet/operations_test.py
@@ -1,4 +1,4 @@
-"""Tests of what operators can do and see, on several hosts in memory."""
+"""Tests of operator actions and status, on several hosts in memory."""
 
 import trio
 import trio.testing
@@ -39,11 +39,11 @@
     )
 
 
-def test_status_tells_versions_in_force_and_cut_off_zones():
-    """A profile is changed while a zone is cut off.
+def test_status_shows_active_versions_and_cut_off_zones():
+    """A profile is changed while a zone is disconnected.
 
-    The operator must see the new version in the zones in reach, and the cut
-    zone as cut off, not as up to date.
+    The operator must see the new version in the reachable zones, and the
+    disconnected zone as cut off, not as up to date.
     """
 
     async def main(fleet):
@@ -79,11 +79,11 @@
     run(main)
 
 
-def test_drain_reaches_all_hosts_and_without_the_platform_says_so():
-    """A target is drained, taken back, and drained again in an outage.
+def test_drain_reaches_all_hosts_and_reports_that_the_platform_is_down():
+    """A target is drained, undrained, and drained again in a platform outage.
 
-    In the outage all hosts must stop giving it work within seconds all the
-    same, and the operator must hear that nothing keeps the drain.
+    During the outage all hosts must still stop giving it work within seconds,
+    and the operator must be informed that the drain is not stored.
     """
 
     async def main(fleet):
--- a/radishfield/fleet/placement_test.py
+++ b/radishfield/fleet/placement_test.py
@@ -1,4 +1,4 @@
-"""Tests of who proposes placement orders, and for which targets."""
+"""Tests of which host proposes placement orders, and for which targets."""
 
 from types import SimpleNamespace
 
@@ -18,12 +18,12 @@
 
 
 def run_periods(lease_answers, targets):
-    """Run the planner once for each lease answer; return seen and proposed."""
-    seen, proposed = [], []
+    """Run one period for each lease answer; return planned ids and proposed orders."""
+    planned, proposed = [], []
     answers = list(lease_answers)
 
-    def moves_of(group, links, zone, store):
-        seen.append([target.id for target in group])
+    def plan_moves(group, links, zone, store):
+        planned.append([target.id for target in group])
         return [Move(group[0].id, LayerRange(4, 8), 10.0, 4.0, "bottleneck")]
 
     planner = PlacementPlanner(
@@ -31,7 +31,7 @@
         SimpleNamespace(check=lambda: answers.pop(0)),
         SimpleNamespace(targets=lambda: targets),
         SimpleNamespace(propose=proposed.append),
-        moves_of=moves_of,
+        plan_moves=plan_moves,
     )
 
     async def main():
@@ -39,7 +39,7 @@
             await planner.run()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0.01))
-    return seen, proposed
+    return planned, proposed
 
 
 def test_only_the_lease_holder_plans_and_only_for_live_targets_of_its_zone():
@@ -48,7 +48,7 @@
         engine("leaving", state=TargetState.LEAVING),
         engine("elsewhere", zone="b"),
     ]
-    seen, proposed = run_periods([Ok(None), NOT_HELD], targets)
-    assert seen == [["here"]]
+    planned, proposed = run_periods([Ok(None), NOT_HELD], targets)
+    assert planned == [["here"]]
     (orders,) = proposed
     assert (orders[0].target_id, orders[0].layers) == ("here", LayerRange(4, 8))
--- a/radishfield/fleet/profiles_test.py
+++ b/radishfield/fleet/profiles_test.py
@@ -45,11 +45,11 @@
     run(main)
 
 
-def test_of_two_operators_that_race_one_wins_and_the_other_is_told():
-    """Both saw version 1 and change it at the same moment, at two hosts.
+def test_of_two_concurrent_changes_one_wins_and_the_other_conflicts():
+    """Two operators change version 1 at the same time, at two hosts.
 
-    Both hosts read version 1, then both write; the platform takes one.  The
-    other operator must hear of a conflict and of what won, not of success.
+    Both hosts read version 1, then both write; the platform accepts one.  The
+    other operator must get a conflict that names the winner, not a success.
     """
 
     async def main(setup):
@@ -63,21 +63,23 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(change, setup.first, 10.0)
             nursery.start_soon(change, setup.second, 20.0)
-        lost = next(result.error for result in results.values() if result.is_error())
-        won = next(result.ok for result in results.values() if result.is_ok())
-        assert lost.code is ResultCode.CHANGE_CONFLICT
-        assert f"deadline {won.deadline_s:g} s" in lost.detail
-        assert "version 2" in lost.detail
+        conflict = next(
+            result.error for result in results.values() if result.is_error()
+        )
+        winner = next(result.ok for result in results.values() if result.is_ok())
+        assert conflict.code is ResultCode.CHANGE_CONFLICT
+        assert f"deadline {winner.deadline_s:g} s" in conflict.detail
+        assert "version 2" in conflict.detail
 
     run(main)
 
 
 @pytest.mark.parametrize("switch", ["lost_answers", "lost_writes"])
 def test_ambiguous_write_is_settled_by_reading_back(switch):
-    """The answer to a change is lost, once after and once before its effect.
+    """The answer to a change is lost, once after and once before it takes effect.
 
-    The operator must hear that the change landed, and it must have landed
-    once: version 2, not a conflict with the own first try, not version 3.
+    The operator must get a success, and the change must be applied exactly once:
+    version 2, not a conflict with its own first attempt, and not version 3.
     """
 
     async def main(setup):
@@ -92,11 +94,11 @@
     run(main)
 
 
-def test_lost_answer_is_settled_when_another_change_came_on_top():
+def test_lost_answer_is_settled_when_another_change_follows():
     """The answer is lost, and another operator changes the profile at once.
 
-    The first operator's change took effect and was then replaced; reading the
-    newest value alone would report a conflict about a change that was in force.
+    The first operator's change took effect and was then replaced.  Reading only
+    the newest value would report a conflict for a change that had been active.
     """
 
     async def main(setup):
@@ -146,11 +148,11 @@
     run(main)
 
 
-def test_old_read_and_stale_peer_bring_nothing_back():
+def test_old_read_and_stale_peer_do_not_restore_a_retired_profile():
     """A host holds a tombstone; an old version arrives from a stale source.
 
-    The caller must go on hearing that the profile is retired.  Versions decide,
-    so neither an old read of the store nor a peer that missed the change counts.
+    Callers must still be informed that the profile is retired.  Versions decide, so
+    neither an old read of the store nor a peer that missed the change has an effect.
     """
 
     async def main(setup):
@@ -160,7 +162,7 @@
         retired = (await setup.platform.read("profile", "review")).ok
         setup.second_facts.learn(retired)
         assert not setup.second_facts.learn(published)
-        # Even under a higher version of the object, an older profile loses.
+        # An older profile is ignored even under a higher object version.
         setup.second_facts.learn(StoredObject("profile", "review", 9, published.value))
         found = setup.second.find("review").error
         assert found.code is ResultCode.PROFILE_RETIRED
@@ -168,11 +170,11 @@
     run(main)
 
 
-def test_unknown_is_told_apart_from_not_heard_of_yet():
+def test_unknown_profile_differs_from_profiles_not_received_yet():
     async def main(setup):
-        unheard = setup.second.find("none").error
-        assert unheard.code is ResultCode.PROFILES_UNKNOWN
-        assert unheard.retry_after_s > 0
+        not_received = setup.second.find("none").error
+        assert not_received.code is ResultCode.PROFILES_UNKNOWN
+        assert not_received.retry_after_s > 0
         setup.second_facts.is_known = True
         assert setup.second.find("none").error.code is ResultCode.UNKNOWN_PROFILE
         bad = (await setup.first.publish(review(deadline_s=-1.0))).error
--- a/radishfield/fleet/spread_test.py
+++ b/radishfield/fleet/spread_test.py
@@ -1,4 +1,4 @@
-"""Tests of how changes reach every host: watchers, peers, digests, cuts."""
+"""Tests of how changes reach every host: watchers, peers, digests, partitions."""
 
 import random
 
@@ -11,7 +11,7 @@
 from standins.entry_host import MemoryFleet, MemoryHost
 
 
-async def wait_in_force(hosts, version, within_s):
+async def wait_active(hosts, version, within_s):
     with trio.fail_after(within_s):
         for a_host in hosts:
             await a_host.store.wait_version("review", version)
@@ -30,17 +30,17 @@
     return Profile("review", model="m", **fields)
 
 
-def test_change_is_in_force_everywhere_and_calls_do_not_grow_with_hosts():
-    """Nine hosts in three zones: a change at one is in force at all in seconds.
+def test_change_is_active_everywhere_and_calls_do_not_grow_with_hosts():
+    """Hosts in three zones: a change at one is active at every host in seconds.
 
-    Only two hosts a zone may call the platform, however many there are.
+    Only two hosts of each zone may call the platform, however many there are.
     """
 
     async def main(fleet):
         await fleet.add(6)
         await trio.sleep(20)
         await fleet.hosts[0].store.publish(review())
-        await wait_in_force(fleet.hosts, 1, 5)
+        await wait_active(fleet.hosts, 1, 5)
         before = fleet.platform.calls()
         await trio.sleep(30)
         with_six = fleet.platform.calls() - before
@@ -55,7 +55,7 @@
 
 
 def test_watch_gap_is_covered_by_the_list():
-    """The platform tells no watch of a change that another system wrote."""
+    """The platform skips the watch event of a change that another system wrote."""
 
     async def main(fleet):
         await fleet.add(3)
@@ -63,31 +63,31 @@
         fleet.platform.faults.skipped_events = 1
         writer = ProfileStore(fleet.platform.as_caller("other"), FactTable())
         await writer.publish(review())
-        await wait_in_force(fleet.hosts, 1, 8)
+        await wait_active(fleet.hosts, 1, 8)
 
     run(main)
 
 
-def test_cut_zone_serves_what_it_has_and_catches_up():
-    """A zone is cut off from everything while a profile is changed and retired.
+def test_partitioned_zone_serves_its_version_and_catches_up():
+    """A zone is disconnected from everything while a profile is retired.
 
-    Its hosts go on with the version that they have.  After the cut they must
-    have the tombstone, and nobody else may get the old version back from them.
+    Its hosts continue with the version that they have.  After the partition they
+    must get the tombstone, and no other host may get the old version from them.
     """
 
     async def main(fleet):
         await fleet.add(9)
         await trio.sleep(10)
         await fleet.hosts[0].store.publish(review())
-        await wait_in_force(fleet.hosts, 1, 5)
+        await wait_active(fleet.hosts, 1, 5)
         fleet.cut_zone("z2")
         await trio.sleep(20)
         await fleet.hosts[0].store.retire("review")
         await trio.sleep(20)
-        cut = [a_host for a_host in fleet.hosts if a_host.zone == "z2"]
-        assert {a_host.store.find("review").ok.version for a_host in cut} == {1}
+        partitioned = [a_host for a_host in fleet.hosts if a_host.zone == "z2"]
+        assert {a_host.store.find("review").ok.version for a_host in partitioned} == {1}
         fleet.heal()
-        await wait_in_force(fleet.hosts, 2, 30)
+        await wait_active(fleet.hosts, 2, 30)
         await trio.sleep(20)
         for a_host in fleet.hosts:
             problem = a_host.store.find("review").error
@@ -96,47 +96,47 @@
     run(main)
 
 
-def test_host_that_starts_in_a_cut_zone_learns_from_zone_peers():
-    """A host starts while its zone reaches neither the platform nor others.
+def test_host_that_starts_in_a_partitioned_zone_learns_from_zone_peers():
+    """A host starts while its zone reaches neither the platform nor other zones.
 
-    With a zone peer to ask it serves the profiles; with nobody it must refuse
-    with its own code, not claim that there is no such profile.
+    With a reachable peer in its zone it serves the profiles.  Without one it must
+    refuse with a separate code, not report that the profile does not exist.
     """
 
     async def main(fleet):
         await fleet.add(5)
         await trio.sleep(10)
         await fleet.hosts[0].store.publish(review())
-        await wait_in_force(fleet.hosts, 1, 5)
+        await wait_active(fleet.hosts, 1, 5)
         newcomer = MemoryHost(fleet, 5)
         fleet.hosts.append(newcomer)
         fleet.cut_zone("z2")
         fleet.nursery.start_soon(newcomer.run)
-        # Sooner than the first answer of a peer can be here.
+        # Shorter than the time until the first answer of a peer.
         await trio.sleep(0.001)
-        unheard = newcomer.store.find("review").error
-        assert unheard.code is ResultCode.PROFILES_UNKNOWN
-        await wait_in_force([newcomer], 1, 10)
+        not_received = newcomer.store.find("review").error
+        assert not_received.code is ResultCode.PROFILES_UNKNOWN
+        await wait_active([newcomer], 1, 10)
         with trio.fail_after(5):
             while not newcomer.facts.is_known:
                 await trio.sleep(0.1)
         unknown = newcomer.store.find("none").error
         assert unknown.code is ResultCode.UNKNOWN_PROFILE
-        alone = MemoryHost(fleet, 6)
+        isolated = MemoryHost(fleet, 6)
         fleet.platform.faults.cut_off.add("h6")
         fleet.network.faults.silent.add("h6:1")
-        fleet.nursery.start_soon(alone.run)
+        fleet.nursery.start_soon(isolated.run)
         await trio.sleep(0.1)
         await trio.sleep(30)
-        assert alone.store.find("review").error.code is ResultCode.PROFILES_UNKNOWN
+        assert isolated.store.find("review").error.code is ResultCode.PROFILES_UNKNOWN
 
     run(main)
 
 
-def test_watcher_without_the_platform_steps_back_for_another():
-    """Both watchers of a zone lose the platform; the third host has it.
+def test_watcher_that_loses_the_platform_is_replaced():
+    """Both watchers of a zone lose the platform; the third host still reaches it.
 
-    The zone must hear of a change all the same, from the third host.
+    The zone must still receive changes, from the third host.
     """
 
     async def main(fleet):
@@ -158,7 +158,7 @@
     run(main)
 
 
-def test_digests_repair_what_datagrams_lost_and_large_values_pass():
+def test_digests_repair_lost_datagrams_and_carry_large_values():
     async def main(fleet):
         await fleet.add(6)
         await trio.sleep(10)
@@ -183,7 +183,9 @@
         members = fleet.hosts[0].peers.members()
         chosen = choose_fan_out(members, SpreadSettings("h0", "z0"), random.Random(1))
         assert set(chosen[:2]) == {"h3", "h6"} and len(set(chosen)) == 4
-        lonely = choose_fan_out(members, SpreadSettings("x", "zx"), random.Random(1))
-        assert len(set(lonely)) == 4
+        chosen_without_zone_peers = choose_fan_out(
+            members, SpreadSettings("x", "zx"), random.Random(1)
+        )
+        assert len(set(chosen_without_zone_peers)) == 4
 
     run(main)
