--- a/radishfield/fleet/_claims.py
+++ b/radishfield/fleet/_claims.py
@@ -1,11 +1,11 @@
-"""Idempotency claims: a request that may not be repeated runs at most once.
+"""Idempotency claims: a request that must not be repeated runs at most once.
 
-A caller's repeat carries the key of the first copy and may reach any entry
+A caller's retry carries the key of the first request and may reach any entry
 host.  Before a request is dispatched, its key is claimed by a conditional write
-to the platform's store, which lets one claim of a key stand.  The claiming host
-alone knows how the run goes, and keeps the answer; a repeat elsewhere finds the
-claim and asks that host.  Copies of the answer at other hosts are a cache:
-nothing is agreed by them.  docs/CLAIMS.md weighs this against other ways.
+to the platform's store, which accepts only one claim of a key.  Only the
+claiming host knows the state of the run, and it keeps the answer; a host that
+receives a retry finds the claim and queries that host.  Copies of the answer at
+other hosts are a cache and decide nothing.  docs/CLAIMS.md compares alternatives.
 """
 
 import time
@@ -27,7 +27,7 @@
     fault,
 )
 from radishfield.fleet._claims_book import ClaimBook, ClaimRecord, ClaimState
-from radishfield.fleet._claims_slots import StoredClaim, place_of
+from radishfield.fleet._claims_slots import StoredClaim, claim_place
 from radishfield.fleet._claims_store import ClaimStore
 from radishfield.fleet._claims_wire import (
     StateAsk,
@@ -43,43 +43,44 @@
 STATE_TOPIC = "claims.state"
 COPY_TOPIC = "claims.copy"
 
-# Each step reads or writes the slot anew after somebody else changed it; more
-# than a few mean that the key itself is fought over.
-MAX_STEPS = 4
-CLAIMANT_TRIES = 2
-# One beside the host that ran the request may go with its zone.
+# Each attempt reads or writes the slot again after another host changed it; more
+# than a few mean contention for the key itself.
+MAX_CLAIM_ATTEMPTS = 4
+CLAIMANT_ATTEMPTS = 2
+# A single copy, besides the answer at the host that ran the request, could be
+# lost together with its zone.
 ANSWER_COPIES = 2
-RETRY_IN_FLIGHT_S = 1.0
-RETRY_UNAVAILABLE_S = 2.0
-MAX_ERRANDS = 1_000
-JOIN_S = 10.0
-"""Hosts that start together know each other within two or three seconds, also
-on busy machines; a host that is older and knows no claimant will not hear of it."""
+RETRY_AFTER_IN_FLIGHT_S = 1.0
+RETRY_AFTER_UNAVAILABLE_S = 2.0
+MAX_QUEUED_JOBS = 1_000
+JOIN_PERIOD_S = 10.0
+"""Hosts that start together discover each other within two or three seconds, also
+on busy machines; an older host that does not know a claimant will not discover it."""
 
-JOIN_WAIT_S = 2.0
-"""Less than the patience of a claim, so that the caller hears the true reason."""
+MAX_JOIN_WAIT_S = 2.0
+"""Less than the timeout of a claim, so that the caller gets the actual reason."""
 
-JOIN_POLL_S = 0.05
-DRAIN_S = 2.0
-DRAIN_PAUSE_S = 0.02
-ERRAND_WORKERS = 4
+JOIN_POLL_INTERVAL_S = 0.05
+MAX_DRAIN_S = 2.0
+DRAIN_POLL_INTERVAL_S = 0.02
+JOB_WORKERS = 4
 
 
 @dataclass(slots=True, frozen=True)
 class ClaimSettings:
-    """Who claims, and how patiently.
+    """The host that claims, with its timeouts and limits.
 
     Attributes
     ----------
-    patience_s : float
+    claim_timeout_s : float
         Seconds after which a claim that the platform does not settle is refused.
     ask_timeout_s : float
-        Seconds for a question to another host: many round trips between zones.
+        Seconds for a query to another host: many round trips between zones.
     """
 
     host: str
     zone: str
-    patience_s: float = 3.0
+    claim_timeout_s: float = 3.0
     ask_timeout_s: float = 0.5
     max_kept: int = 10_000
 
@@ -93,18 +94,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Replay:
-    """The whole answer of the first run."""
+    """The complete answer of the first run."""
 
     answer: bytes
 
 
 class Claims:
-    """A service that claims keys, and answers for the claims of this host.
+    """A service that claims keys, and answers queries about this host's claims.
 
     Attributes
     ----------
-    dropped_errands : int
-        Copies and releases that were not sent for want of room.
+    dropped_jobs : int
+        Copies and releases that were not sent because the queue was full.
     """
 
     __slots__ = (
@@ -114,10 +115,10 @@
         "_settings",
         "_own",
         "_copies",
-        "_send_errand",
-        "_errands",
+        "_job_sender",
+        "_job_receiver",
         "_started_at",
-        "dropped_errands",
+        "dropped_jobs",
     )
 
     def __init__(
@@ -134,72 +135,72 @@
         self._settings = settings
         self._own = ClaimBook(settings.max_kept)
         self._copies = ClaimBook(settings.max_kept)
-        self._send_errand, self._errands = trio.open_memory_channel(MAX_ERRANDS)
+        self._job_sender, self._job_receiver = trio.open_memory_channel(MAX_QUEUED_JOBS)
         self._started_at: float | None = None
-        self.dropped_errands = 0
-        peers.answer(STATE_TOPIC, self._answer_state)
-        peers.answer(COPY_TOPIC, self._take_copy)
+        self.dropped_jobs = 0
+        peers.answer(STATE_TOPIC, self._answer_state_query)
+        peers.answer(COPY_TOPIC, self._store_copy)
 
     async def run(self, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED):
-        """Send copies of answers and take back released claims, until cancelled."""
+        """Send copies of answers and remove released claims, until cancelled."""
         self._started_at = self._clock.now()
         async with trio.open_nursery() as nursery:
-            for _ in range(ERRAND_WORKERS):
-                nursery.start_soon(self._run_errands)
+            for _ in range(JOB_WORKERS):
+                nursery.start_soon(self._run_jobs)
             task_status.started()
 
     async def claim(
         self, workspace: str, key: str, digest: str, request_id: str, expires_at: float
     ) -> Result[Claimed | Replay, Fault]:
-        """Claim a key until ``expires_at``, or say what its first copy came to.
+        """Claim a key until ``expires_at``, or return the result of its first request.
 
-        ``CLAIM_UNAVAILABLE`` says that this copy did not run and another may
-        have: its outcome is unknown.
+        ``CLAIM_UNAVAILABLE`` means that this request did not run, but another
+        with the same key may have: its outcome is unknown.
         """
         now = self._clock.now()
-        place = place_of(workspace, key)
+        place = claim_place(workspace, key)
         held = self._own.find(place, now)
         if held is not None and held.state is not ClaimState.RELEASED:
-            return answer_to_repeat(held, digest)
+            return answer_to_retry(held, digest)
         claim_id = f"{request_id}.{uuid.uuid4().hex}"
         record = ClaimRecord(place, digest, claim_id, self._settings.host, expires_at)
-        # Noted before the platform is asked: whoever finds the claim there must
-        # find this host able to say how it went.
+        # Recorded before the platform is written: a host that finds the claim
+        # there must be able to query its state here.
         if not self._own.put(record, now):
-            return Error(_unavailable("this host keeps as many claims as it may"))
+            return Error(_unavailable("this host holds the maximum number of claims"))
         released = {held.claim_id} if held is not None else set()
         granted: Result[Claimed | Replay, Fault] = Error(
             _unavailable("the platform did not answer in time")
         )
         try:
-            with trio.move_on_after(self._settings.patience_s):
-                granted = await self._contend(record, released)
+            with trio.move_on_after(self._settings.claim_timeout_s):
+                granted = await self._write_or_find_claim(record, released)
         finally:
             if granted.is_error():
-                self._give_up(record, granted.error)
+                self._release_claim(record, granted.error)
             elif isinstance(granted.ok, Replay):
                 self._own.settle(record, ClaimState.RELEASED, None, now)
         return granted
 
     async def finish(self, claimed: Claimed, answer: bytes | None) -> None:
-        """Note that the run ended well, and copy its answer to other hosts."""
+        """Record that the run succeeded, and copy its answer to other hosts."""
         settled = self._settle(claimed, ClaimState.FINISHED, answer)
         if settled is not None and settled.answer is not None:
             for host_id in self._copy_hosts(settled.place):
-                self._add_errand(_Copy(host_id, settled))
+                self._queue_job(_CopyJob(host_id, settled))
 
     async def release(self, claimed: Claimed) -> None:
-        """Note that nothing ran: the key may be claimed again."""
-        self._give_up(claimed.record)
+        """Record that nothing ran: the key may be claimed again."""
+        self._release_claim(claimed.record)
 
     async def drain(self) -> None:
-        """Let the last copies and releases leave before the host does."""
-        with trio.move_on_after(DRAIN_S):
-            while self._errands.statistics().current_buffer_used:
-                await trio.sleep(DRAIN_PAUSE_S)
+        """Wait until queued copies and releases are taken up, before the host stops."""
+        with trio.move_on_after(MAX_DRAIN_S):
+            while self._job_receiver.statistics().current_buffer_used:
+                await trio.sleep(DRAIN_POLL_INTERVAL_S)
 
     async def mark_unknown(self, claimed: Claimed) -> None:
-        """Note that the request may have run; a repeat never runs it."""
+        """Record that the request may have run; a retry never runs it."""
         self._settle(claimed, ClaimState.UNKNOWN, None)
 
     def _settle(
@@ -207,103 +208,103 @@
     ) -> ClaimRecord | None:
         return self._own.settle(claimed.record, state, answer, self._clock.now())
 
-    def _give_up(self, record: ClaimRecord, why: Fault | None = None) -> None:
-        """Free the key here at once, and in the store behind the caller's back.
+    def _release_claim(self, record: ClaimRecord, reason: Fault | None = None) -> None:
+        """Free the key here at once, and in the store in the background.
 
-        Until the store is written, a repeat that finds the claim asks this host
-        and hears that it was released.  A claim that met another one was never
-        written.
+        Until the store is written, a host that finds the claim for a retry
+        queries this host and learns that it was released.  A claim that was
+        refused because of another one was never written.
         """
         self._own.settle(record, ClaimState.RELEASED, None, self._clock.now())
-        if why is None or why.code is ResultCode.CLAIM_UNAVAILABLE:
-            self._add_errand(_Release(record))
+        if reason is None or reason.code is ResultCode.CLAIM_UNAVAILABLE:
+            self._queue_job(_ReleaseJob(record))
 
-    async def _contend(
+    async def _write_or_find_claim(
         self, record: ClaimRecord, released: set[str]
     ) -> Result[Claimed | Replay, Fault]:
-        """Write the claim, or find out about the one that stands in its way.
+        """Write the claim, or return the result of an existing claim of the key.
 
         ``released`` holds ids of claims that are known never to have run.
         """
-        for _ in range(MAX_STEPS):
-            match await self._store.slot(record.place):
+        for _ in range(MAX_CLAIM_ATTEMPTS):
+            match await self._store.load_slot(record.place):
                 case Result(tag="error", error=problem):
                     return Error(_unavailable(problem.detail))
                 case Result(tag="ok", ok=slot):
-                    rival = self._store.find(slot, record.place)
-            if rival is not None and rival.claim_id not in released:
-                state = await self._state_of(rival)
-                if state is None and self._may_be_heard_of_yet(rival.host_id):
-                    detail = "the host that claimed the key is not known here yet"
+                    existing = self._store.find(slot, record.place)
+            if existing is not None and existing.claim_id not in released:
+                state = await self._state_of(existing)
+                if state is None and self._may_be_undiscovered(existing.host_id):
+                    detail = "the host that claimed the key is not discovered yet"
                     return Error(_unavailable(detail))
-                if state is not None and state.claim_id != rival.claim_id:
-                    # The host has claimed the key anew: this slot is an old one.
-                    self._store.forget(record.place)
+                if state is not None and state.claim_id != existing.claim_id:
+                    # The host has claimed the key again since: the slot is out of date.
+                    self._store.invalidate(record.place)
                     continue
                 if state is None or state.state is not ClaimState.RELEASED:
-                    return answer_to_repeat(state or _unknown(rival), record.digest)
-                released.add(rival.claim_id)
+                    return answer_to_retry(state or _unknown(existing), record.digest)
+                released.add(existing.claim_id)
             lifetime_s = record.expires_at - self._clock.now()
             written = await self._store.write_claim(slot, record, lifetime_s)
             if written.is_ok():
                 return Ok(Claimed(record))
             if written.error.code is not ResultCode.PLATFORM_CONFLICT:
                 return Error(_unavailable(written.error.detail))
-        return Error(_unavailable("others kept changing the same claims"))
+        return Error(_unavailable("other hosts kept changing the same claims"))
 
-    async def _state_of(self, rival: StoredClaim) -> ClaimRecord | None:
-        """Return how a claim's run went; None where nobody can say."""
-        copy = self._copies.find(rival.place, self._clock.now())
-        if copy is not None and copy.claim_id == rival.claim_id:
+    async def _state_of(self, existing: StoredClaim) -> ClaimRecord | None:
+        """Return the state of a claim's run; None if no host can report it."""
+        copy = self._copies.find(existing.place, self._clock.now())
+        if copy is not None and copy.claim_id == existing.claim_id:
             return copy
-        ask = StateAsk(rival.place, rival.claim_id)
-        # A claim of this host that it does not know is from before its restart.
-        if rival.host_id != self._settings.host:
-            await self._wait_until_heard_of(rival.host_id)
-            # One lost question must not turn a kept answer into "unknown", which
-            # no later repeat is told to come back for.
-            for _ in range(CLAIMANT_TRIES):
-                state = await self._ask_state(rival.host_id, ask)
+        ask = StateAsk(existing.place, existing.claim_id)
+        # A claim of this host that it has no record of is from before its restart.
+        if existing.host_id != self._settings.host:
+            await self._wait_for_discovery(existing.host_id)
+            # One lost query must not turn a kept answer into "unknown", a refusal
+            # without a retry time.
+            for _ in range(CLAIMANT_ATTEMPTS):
+                state = await self._query_state(existing.host_id, ask)
                 if state is not None:
                     return state
-        for host_id in self._copy_hosts(rival.place):
-            copy = await self._ask_state(host_id, ask)
-            if copy is not None and copy.claim_id == rival.claim_id:
+        for host_id in self._copy_hosts(existing.place):
+            copy = await self._query_state(host_id, ask)
+            if copy is not None and copy.claim_id == existing.claim_id:
                 return copy
         return None
 
-    def _may_be_heard_of_yet(self, host_id: str) -> bool:
-        """Tell whether a host may live although this one does not know it.
+    def _may_be_undiscovered(self, host_id: str) -> bool:
+        """Return whether a host may be alive although this one does not know it.
 
         A host that has just started serves before it knows its peers.  Without
-        this a repeat there is told for good that nobody knows how its first
-        copy went, while the host that keeps the answer runs beside it.
+        this check a retry there gets the final refusal "unknown", while the host
+        that keeps the answer is running.
         """
         if self._started_at is None:
             return False
-        is_young = self._clock.now() - self._started_at < JOIN_S
+        is_young = self._clock.now() - self._started_at < JOIN_PERIOD_S
         return is_young and all(
             member.id != host_id for member in self._peers.members()
         )
 
-    async def _wait_until_heard_of(self, host_id: str) -> None:
-        with trio.move_on_after(JOIN_WAIT_S):
-            while self._may_be_heard_of_yet(host_id):
-                await trio.sleep(JOIN_POLL_S)
+    async def _wait_for_discovery(self, host_id: str) -> None:
+        with trio.move_on_after(MAX_JOIN_WAIT_S):
+            while self._may_be_undiscovered(host_id):
+                await trio.sleep(JOIN_POLL_INTERVAL_S)
 
-    async def _ask_state(self, host_id: str, ask: StateAsk) -> ClaimRecord | None:
+    async def _query_state(self, host_id: str, ask: StateAsk) -> ClaimRecord | None:
         now = self._clock.now()
-        asked = await self._peers.ask(
+        answer = await self._peers.ask(
             host_id, STATE_TOPIC, encode_ask(ask), self._settings.ask_timeout_s
         )
-        state = asked.bind(lambda payload: decode_state(payload, now))
+        state = answer.bind(lambda payload: decode_state(payload, now))
         return state.ok if state.is_ok() else None
 
-    def _known(self, ask: StateAsk, now: float) -> ClaimRecord | None:
-        """Return the claim asked for; else this host's newer one of the key.
+    def _find_record(self, ask: StateAsk, now: float) -> ClaimRecord | None:
+        """Return the queried claim, or else this host's newer one of the key.
 
-        A released one proves nothing of the claim asked for: this host may have
-        lost its memory of that one, and then been refused the key itself.
+        A released newer one proves nothing about the queried claim: this host may
+        have lost its record of that one, and then been refused the key itself.
         """
         own = self._own.find(ask.place, now)
         copy = self._copies.find(ask.place, now)
@@ -312,14 +313,14 @@
                 return record
         return own if own is not None and own.state is not ClaimState.RELEASED else None
 
-    async def _answer_state(
+    async def _answer_state_query(
         self, member_id: str, payload: bytes
     ) -> Result[bytes, Fault]:
         now = self._clock.now()
-        asked = decode_ask(payload)
-        return asked.map(lambda ask: encode_state(self._known(ask, now), now))
+        decoded = decode_ask(payload)
+        return decoded.map(lambda ask: encode_state(self._find_record(ask, now), now))
 
-    async def _take_copy(self, member_id: str, payload: bytes) -> Result[bytes, Fault]:
+    async def _store_copy(self, member_id: str, payload: bytes) -> Result[bytes, Fault]:
         now = self._clock.now()
         decoded = decode_record(payload, now)
         if decoded.is_error():
@@ -338,76 +339,76 @@
         in_order.sort(key=lambda host_id: zones[host_id] == self._settings.zone)
         return in_order[:ANSWER_COPIES]
 
-    def _add_errand(self, errand: "_Copy | _Release") -> None:
+    def _queue_job(self, job: "_CopyJob | _ReleaseJob") -> None:
         try:
-            self._send_errand.send_nowait(errand)
+            self._job_sender.send_nowait(job)
         except trio.WouldBlock:
-            self.dropped_errands += 1
+            self.dropped_jobs += 1
 
-    async def _run_errands(self) -> None:
-        async for errand in self._errands.clone():
-            match errand:
-                case _Copy(host_id, record):
+    async def _run_jobs(self) -> None:
+        async for job in self._job_receiver.clone():
+            match job:
+                case _CopyJob(host_id, record):
                     payload = encode_record(record, self._clock.now())
                     timeout_s = self._settings.ask_timeout_s
                     await self._peers.ask(host_id, COPY_TOPIC, payload, timeout_s)
-                case _Release(record):
-                    await self._store.take_back(record)
+                case _ReleaseJob(record):
+                    await self._store.remove_claim(record)
 
 
 @dataclass(slots=True, frozen=True)
-class _Copy:
-    """A finished claim's answer is to be kept at another host as well."""
+class _CopyJob:
+    """Stores a finished claim's answer at another host as well."""
 
     host_id: str
     record: ClaimRecord
 
 
 @dataclass(slots=True, frozen=True)
-class _Release:
-    """A claim is to be taken out of the store."""
+class _ReleaseJob:
+    """Removes a claim from the store."""
 
     record: ClaimRecord
 
 
-def answer_to_repeat(
+def answer_to_retry(
     earlier: ClaimRecord, digest: str
 ) -> Result[Claimed | Replay, Fault]:
-    """Return what a repeat is told about the copy that holds its key."""
+    """Return the result of a retry whose key an earlier request has claimed."""
     if earlier.digest != digest:
-        detail = "the key was used with another body"
+        detail = "the key was used with a different body"
         return Error(fault(ResultCode.IDEMPOTENCY_KEY_REUSED, detail))
     if earlier.answer is not None:
         return Ok(Replay(earlier.answer))
     match earlier.state:
         case ClaimState.CLAIMED:
-            detail = "the first copy is still running"
+            detail = "the first request is still running"
             code = ResultCode.DUPLICATE_IN_FLIGHT
-            return Error(fault(code, detail, RETRY_IN_FLIGHT_S))
+            return Error(fault(code, detail, RETRY_AFTER_IN_FLIGHT_S))
         case ClaimState.FINISHED:
-            detail = "the first copy finished; its answer is no longer kept"
-            gone = fault(ResultCode.DUPLICATE_UNKNOWN, detail)
-            return Error(replace(gone, proven_outcome=Outcome.FINISHED))
-    detail = "the first copy may have run; it is not run again"
+            detail = "the first request finished; its answer is no longer stored"
+            refusal = fault(ResultCode.DUPLICATE_UNKNOWN, detail)
+            return Error(replace(refusal, proven_outcome=Outcome.FINISHED))
+    detail = "the first request may have run; it is not run again"
     return Error(fault(ResultCode.DUPLICATE_UNKNOWN, detail))
 
 
-def _unknown(rival: StoredClaim) -> ClaimRecord:
-    """Return the record of a claim of which nobody can say how it went."""
+def _unknown(existing: StoredClaim) -> ClaimRecord:
+    """Return the record of a claim whose state no host can report."""
     return ClaimRecord(
-        rival.place,
-        rival.digest,
-        rival.claim_id,
-        rival.host_id,
+        existing.place,
+        existing.digest,
+        existing.claim_id,
+        existing.host_id,
         0.0,
         ClaimState.UNKNOWN,
     )
 
 
 def _unavailable(detail: str) -> Fault:
-    """Return a refusal of this copy that says nothing of an earlier one.
+    """Return a refusal of this request that says nothing about an earlier one.
 
-    Told "not run", a caller would take its request for one that never ran; an
-    earlier copy with the same key may have, where this host can't see it.
+    On "not run" a caller would conclude that its request never ran; an earlier
+    one with the same key may have, where this host can't see it.
     """
-    return fault(ResultCode.CLAIM_UNAVAILABLE, detail, RETRY_UNAVAILABLE_S)
+    return fault(ResultCode.CLAIM_UNAVAILABLE, detail, RETRY_AFTER_UNAVAILABLE_S)
--- a/radishfield/fleet/_claims_store.py
+++ b/radishfield/fleet/_claims_store.py
@@ -1,4 +1,4 @@
-"""The platform's store as claims use it: read a slot, write it, take a claim back."""
+"""Reads and writes slots of claims in the platform's store, with a cache of slots."""
 
 from collections.abc import Callable
 
@@ -11,23 +11,23 @@
     SLOT_KIND,
     Slot,
     StoredClaim,
-    carries,
+    contains_claim,
     read_slot,
     slot_name,
 )
 from radishfield.fleet._settled_write import write_settled
 
 MAX_CACHED_SLOTS = 4_096
-# A claim's caller waits; what is not settled after two tries is refused.
-WRITE_STEPS = 2
-TAKE_BACK_STEPS = 4
+# The caller waits for its claim, which is refused if two attempts don't settle it.
+MAX_WRITE_ATTEMPTS = 2
+MAX_REMOVE_ATTEMPTS = 4
 
 
 class ClaimStore:
-    """Slots of claims, with those that were seen last kept in memory.
+    """Slots of claims, with those that were seen last cached in memory.
 
-    A kept slot may be old.  It saves the read before a write, whose condition
-    proves whether it still holds.
+    A cached slot may be out of date.  It saves the read before a write, whose
+    condition proves whether the slot is still current.
     """
 
     __slots__ = ("_platform", "_unix_now", "_slots_by_name")
@@ -37,12 +37,12 @@
         self._unix_now = unix_now
         self._slots_by_name: dict[str, Slot] = {}
 
-    async def slot(self, place: str) -> Result[Slot, Fault]:
-        """Return the slot of a place as last seen."""
+    async def load_slot(self, place: str) -> Result[Slot, Fault]:
+        """Return the slot of a place, from the cache if it is there."""
         name = slot_name(place)
-        known = self._slots_by_name.get(name)
-        if known is not None:
-            return Ok(known)
+        cached = self._slots_by_name.get(name)
+        if cached is not None:
+            return Ok(cached)
         read = await self._platform.read(SLOT_KIND, name)
         match read:
             case Result(tag="ok", ok=stored):
@@ -58,17 +58,17 @@
         return Ok(slot)
 
     def find(self, slot: Slot, place: str) -> StoredClaim | None:
-        """Return the claim in force on a place, if there is one."""
+        """Return the active claim of a place, if there is one."""
         return slot.find(place, self._unix_now())
 
-    def forget(self, place: str) -> None:
-        """Read the place's slot anew next time."""
+    def invalidate(self, place: str) -> None:
+        """Drop the place's slot from the cache, so that it is read again next time."""
         self._slots_by_name.pop(slot_name(place), None)
 
     async def write_claim(
         self, slot: Slot, record: ClaimRecord, lifetime_s: float
     ) -> Result[StoredObject, Fault]:
-        """Write a claim into a slot; ``PLATFORM_CONFLICT`` if the slot was old."""
+        """Write a claim into a slot; ``PLATFORM_CONFLICT`` if it was out of date."""
         unix_now = self._unix_now()
         claim = StoredClaim(
             record.place,
@@ -82,14 +82,16 @@
             return Error(fault(ResultCode.VALUE_TOO_LARGE, "the key's slot is full"))
         return await self._write(slot, record, value)
 
-    async def take_back(self, record: ClaimRecord) -> None:
-        """Take a claim out of its slot, if it is in it and the store answers."""
-        for _ in range(TAKE_BACK_STEPS):
-            self.forget(record.place)
-            slot = await self.slot(record.place)
+    async def remove_claim(self, record: ClaimRecord) -> None:
+        """Remove a claim from its slot, if the slot holds it and the store answers."""
+        for _ in range(MAX_REMOVE_ATTEMPTS):
+            self.invalidate(record.place)
+            slot = await self.load_slot(record.place)
             if slot.is_error():
                 return
-            value = slot.ok.without(record.place, record.claim_id, self._unix_now())
+            value = slot.ok.without_claim(
+                record.place, record.claim_id, self._unix_now()
+            )
             if value is None:
                 return
             written = await self._write(slot.ok, record, value)
@@ -101,13 +103,13 @@
     ) -> Result[StoredObject, Fault]:
         name = slot_name(record.place)
         wanted = StoredObject(SLOT_KIND, name, slot.version, value)
-        is_in_it = carries(value, record.claim_id)
+        is_claim_in_value = contains_claim(value, record.claim_id)
         self._slots_by_name.pop(name, None)
         written = await write_settled(
             self._platform,
             wanted,
-            lambda stored: carries(stored, record.claim_id) == is_in_it,
-            WRITE_STEPS,
+            lambda stored: contains_claim(stored, record.claim_id) == is_claim_in_value,
+            MAX_WRITE_ATTEMPTS,
         )
         if written.is_ok():
             self._keep(name, read_slot(written.ok.value, written.ok.version))
--- a/radishfield/fleet/_claims_wire.py
+++ b/radishfield/fleet/_claims_wire.py
@@ -19,21 +19,21 @@
 
 @dataclass(slots=True, frozen=True)
 class StateAsk:
-    """Asks a host how the run behind a claim went."""
+    """Query for the state of the run behind a claim."""
 
     place: str
     claim_id: str
 
 
 def encode_ask(ask: StateAsk) -> bytes:
-    """Return the bytes of a question."""
+    """Return the bytes of a state query."""
     message = _schema.StateAsk.new_message(place=ask.place, claimId=ask.claim_id)
     return message.to_bytes_packed()
 
 
 def decode_ask(payload: bytes) -> Result[StateAsk, Fault]:
-    """Return the question, or what is wrong with the bytes."""
-    return _decoded(
+    """Return the state query, or a fault if the bytes are malformed."""
+    return _decode(
         _schema.StateAsk,
         payload,
         lambda message: StateAsk(message.place, message.claimId),
@@ -41,35 +41,35 @@
 
 
 def encode_record(record: ClaimRecord, now: float) -> bytes:
-    """Return the bytes of a record, for a copy of its answer."""
+    """Return the bytes of a record, to copy its answer to another host."""
     message = _schema.Record.new_message()
-    _fill(message, record, now)
+    _fill_record(message, record, now)
     return message.to_bytes_packed()
 
 
 def decode_record(payload: bytes, now: float) -> Result[ClaimRecord, Fault]:
-    """Return the record, or what is wrong with the bytes."""
-    return _decoded(_schema.Record, payload, lambda message: _record(message, now))
+    """Return the record, or a fault if the bytes are malformed."""
+    return _decode(_schema.Record, payload, lambda message: _read_record(message, now))
 
 
 def encode_state(record: ClaimRecord | None, now: float) -> bytes:
-    """Return the bytes of a host's account of a claim."""
+    """Return the bytes of the answer to a state query."""
     message = _schema.StateAnswer.new_message(isFound=record is not None)
     if record is not None:
-        _fill(message.record, record, now)
+        _fill_record(message.record, record, now)
     return message.to_bytes_packed()
 
 
 def decode_state(payload: bytes, now: float) -> Result[ClaimRecord | None, Fault]:
-    """Return the host's account, or what is wrong with the bytes."""
-    return _decoded(
+    """Return the record in the answer, if any, or a fault if it is malformed."""
+    return _decode(
         _schema.StateAnswer,
         payload,
-        lambda message: _record(message.record, now) if message.isFound else None,
+        lambda message: _read_record(message.record, now) if message.isFound else None,
     )
 
 
-def _fill(message, record: ClaimRecord, now: float) -> None:
+def _fill_record(message, record: ClaimRecord, now: float) -> None:
     message.place = record.place
     message.digest = record.digest
     message.claimId = record.claim_id
@@ -80,7 +80,7 @@
     message.answer = record.answer or b""
 
 
-def _record(message, now: float) -> ClaimRecord:
+def _read_record(message, now: float) -> ClaimRecord:
     lifetime_s = min(max(0.0, message.lifetimeSeconds), MAX_LIFETIME_S)
     return ClaimRecord(
         message.place,
@@ -93,7 +93,7 @@
     )
 
 
-def _decoded(kind, payload: bytes, read) -> Result:
+def _decode(struct_type, payload: bytes, read) -> Result:
     if len(payload) > MAX_MESSAGE_BYTES:
         return Error(fault(ResultCode.FRAME_TOO_LARGE, f"{len(payload)} bytes"))
-    return read_packed(kind, payload, read, _TRAVERSAL_WORDS)
+    return read_packed(struct_type, payload, read, _TRAVERSAL_WORDS)
--- a/radishfield/fleet/_leases.py
+++ b/radishfield/fleet/_leases.py
@@ -1,14 +1,15 @@
-"""One holder per duty and zone, by a lease object in the platform.
+"""Leases, stored in the platform, that give a duty in a zone to a single host.
 
 Hosts' clocks are not compared.  A holder counts its lease from before it sent
-the renewal, on a clock that goes on while the host is suspended.  A contender
-takes a lease over only after it has seen the same record for the lease's length
-on its own clock.  So the old holder's lease has ended, by its own count, before
-the new one's begins.
-
-Each holder has a higher fencing number than the one before.  Targets that check
-it refuse the old holder's late orders.  For targets that ignore it the new
-holder first waits out the longest order that the old one may have sent.
+the renewal, on a clock that keeps running while the host is suspended.  A
+contender takes a lease over only after it has seen the same record for the
+lease's duration on its own clock.  So the old holder's lease has ended, by its
+own count, before the new one's begins.
+
+Each holder has a higher fencing number than the previous one.  Targets that check
+it refuse the old holder's late orders.  For targets that ignore it, the new
+holder first waits for the longest timeout of an order that the old one may have
+sent.
 """
 
 import random
@@ -36,27 +37,27 @@
 
 LEASE_KIND = "lease"
 
-CONTENDERS = 2
-"""Hosts of a zone that read the lease; more would only add platform calls."""
+MAX_CONTENDERS = 2
+"""Hosts of a zone that contend for the lease; more would only add platform calls."""
 
 DRIFT_ALLOWANCE = 1.1
-"""A contender waits a tenth longer than the lease, for clocks that run unevenly
-and for a renewal that was read just before it changed."""
+"""A contender waits a tenth longer than the lease, to allow for clock drift and for
+a record that was read just before a renewal changed it."""
 
-RENEWAL_STEPS = 2
-"""A renewal that is not settled by then is left to the next one."""
+MAX_WRITE_ATTEMPTS = 2
+"""A renewal that is not settled after so many attempts is left to the next one."""
 
 
 @dataclass(slots=True, frozen=True)
 class LeaseSettings:
-    """Which duty, of which zone, by which host.
+    """The duty, its zone, and the host that contends for it.
 
     Attributes
     ----------
     duration_s : float
-        Length of the lease; three renewals fit, so that two may be lost.
+        Duration of the lease; three renewals fit, so that two may be lost.
     longest_order_s : float
-        Longest timeout of an order given under this lease.
+        Longest timeout of an order sent under this lease.
     """
 
     duty: str
@@ -69,7 +70,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseRecord:
-    """What the platform holds; an empty holder has given it back."""
+    """The record that the platform stores; the holder is empty after a release."""
 
     holder: str
     fencing: int
@@ -80,14 +81,14 @@
 
 @dataclass(slots=True, frozen=True)
 class HeldLease:
-    """A lease as its holder counts it.
+    """A lease that this host holds, with times on its own clock.
 
     Attributes
     ----------
     valid_until : float
-        Clock reading, from before the renewal was sent.
+        Clock reading, counted from before the renewal was sent.
     unfenced_from : float
-        Clock reading from which targets that ignore fencing may get orders.
+        Clock reading from which targets that ignore fencing may be sent orders.
     """
 
     fencing: int
@@ -96,16 +97,16 @@
 
 
 class LeaseKeeper:
-    """A service that contends for a lease, and keeps it.
+    """A service that contends for a lease, and renews it.
 
     Attributes
     ----------
     acquired, lost : int
-        How often this host got and lost the lease.
+        How often this host acquired and lost the lease.
     """
 
     __slots__ = (
-        "_chance",
+        "_rng",
         "_clock",
         "_held",
         "_in_doubt",
@@ -114,7 +115,7 @@
         "_peers",
         "_platform",
         "_record",
-        "_seen",
+        "_first_seen",
         "_settings",
         "_version",
         "acquired",
@@ -135,13 +136,13 @@
         self._peers = peers
         self._clock = clock
         self._new_change_id = new_change_id
-        self._chance = chance or random.Random()
+        self._rng = chance or random.Random()
         self._held: HeldLease | None = None
         self._record: LeaseRecord | None = None
         self._version = 0
         self._in_doubt = False
         self._is_draining = False
-        self._seen: tuple[int, float] | None = None
+        self._first_seen: tuple[int, float] | None = None
         self.acquired = 0
         self.lost = 0
 
@@ -151,31 +152,31 @@
         while True:
             if not self._is_draining:
                 await self.step()
-            await trio.sleep(self._settings.renew_s * self._chance.uniform(0.9, 1.1))
+            await trio.sleep(self._settings.renew_s * self._rng.uniform(0.9, 1.1))
 
     async def step(self) -> None:
-        """Renew the lease if it is held, else see whether it can be had."""
+        """Renew the lease if it is held, else contend for it."""
         if self._held is not None:
             await self._renew()
         elif self._is_contender():
             await self._contend()
 
     async def drain(self) -> None:
-        """Give the lease back, so that the next holder need not wait it out."""
+        """Release the lease, so that the next holder need not wait for its end."""
         self._is_draining = True
         if self._held is None or self._record is None:
             return
-        # First forget it here: an order sent while the release is on its way
-        # would reach targets beside those of the next holder.
+        # The lease is dropped here first: an order sent while the release is in
+        # flight would reach targets along with those of the next holder.
         fencing = self._held.fencing
         self._held = None
-        await self._write("", fencing, RENEWAL_STEPS)
+        await self._write("", fencing, MAX_WRITE_ATTEMPTS)
 
     def check(self, for_s: float = 0.0) -> Result[HeldLease, Fault]:
-        """Return the lease if it is held for so many seconds from now.
+        """Return the lease if it is held for at least ``for_s`` seconds from now.
 
         To be called right before each order is sent: a process that was paused
-        after an earlier check wakes with a lease that has lapsed.
+        after an earlier check resumes with an expired lease.
         """
         held = self._held
         now = self._clock.now()
@@ -185,7 +186,7 @@
         return Ok(held)
 
     def status(self) -> LeaseStatus:
-        """Return the lease as this host knows it."""
+        """Return the state of the lease known to this host."""
         held = self.check()
         remaining_s = 0.0
         if held.is_ok():
@@ -206,28 +207,28 @@
                 self._record, self._version = None, 0
                 await self._acquire(1, 0.0)
             return
-        if not self._take_in(read.ok):
+        if not self._load_record(read.ok):
             return
         record, now = self._record, self._clock.now()
-        if self._seen is None or self._seen[0] != self._version:
-            self._seen = (self._version, now)
-        unchanged_s = now - self._seen[1]
+        if self._first_seen is None or self._first_seen[0] != self._version:
+            self._first_seen = (self._version, now)
+        unchanged_s = now - self._first_seen[1]
         is_over = unchanged_s >= record.duration_s * DRIFT_ALLOWANCE
         if record.holder == "" or is_over:
             await self._acquire(record.fencing + 1, record.longest_order_s)
 
     async def _acquire(self, fencing: int, wait_out_s: float) -> None:
-        before = self._clock.now()
-        written = await self._write(self._settings.host, fencing, RENEWAL_STEPS)
-        # An acquisition whose answer stays lost is not held.  If it took effect,
-        # the record names this host, which then waits it out like any other.
+        sent_at = self._clock.now()
+        written = await self._write(self._settings.host, fencing, MAX_WRITE_ATTEMPTS)
+        # An acquisition without an answer does not count as held.  If it took effect,
+        # the record names this host, which waits for the end like any other.
         self._in_doubt = False
         if written.is_error():
             return
         self.acquired += 1
         self._held = HeldLease(
             fencing,
-            before + self._settings.duration_s,
+            sent_at + self._settings.duration_s,
             self._clock.now() + wait_out_s,
         )
 
@@ -236,31 +237,33 @@
         if self.check().is_error():
             self._lose()
             return
-        if self._in_doubt and not await self._find_own():
+        if self._in_doubt and not await self._read_own_record():
             return
-        before = self._clock.now()
-        written = await self._write(self._settings.host, held.fencing, RENEWAL_STEPS)
+        sent_at = self._clock.now()
+        written = await self._write(
+            self._settings.host, held.fencing, MAX_WRITE_ATTEMPTS
+        )
         if self._held is not held:
-            # Given back or lost while the renewal was on its way: what came of
-            # it must not bring the lease back to this host.
+            # Released or lost while the renewal was in flight: its result must
+            # not restore the lease at this host.
             return
         if written.is_ok():
             self._in_doubt = False
             self._held = HeldLease(
-                held.fencing, before + self._settings.duration_s, held.unfenced_from
+                held.fencing, sent_at + self._settings.duration_s, held.unfenced_from
             )
             return
-        # The lease that is held goes on until its own end, whatever the answer
-        # was, but for one case: another holder has been read back.
+        # The held lease stays valid until its end, whatever the answer was,
+        # unless another holder has been read back.
         self._in_doubt = True
         if written.error.code is ResultCode.PLATFORM_CONFLICT:
-            await self._find_own()
+            await self._read_own_record()
 
-    async def _find_own(self) -> bool:
-        """Read which version of the record is this host's; lose it if none is."""
+    async def _read_own_record(self) -> bool:
+        """Read the record; True if it is this host's.  A newer one ends the lease."""
         held = self._held
         read = await self._platform.read(LEASE_KIND, self._name())
-        if read.is_error() or not self._take_in(read.ok):
+        if read.is_error() or not self._load_record(read.ok):
             return False
         if self._held is not held:
             return False
@@ -273,7 +276,7 @@
         return False
 
     async def _write(
-        self, holder: str, fencing: int, steps: int
+        self, holder: str, fencing: int, max_attempts: int
     ) -> Result[StoredObject, Fault]:
         change_id = self._new_change_id()
         record = LeaseRecord(
@@ -287,13 +290,16 @@
             LEASE_KIND, self._name(), self._version, msgspec.json.encode(record)
         )
         written = await write_settled(
-            self._platform, wanted, lambda value: _carries(value, change_id), steps
+            self._platform,
+            wanted,
+            lambda value: _contains_change(value, change_id),
+            max_attempts,
         )
         if written.is_ok():
             self._record, self._version = record, written.ok.version
         return written
 
-    def _take_in(self, stored: StoredObject) -> bool:
+    def _load_record(self, stored: StoredObject) -> bool:
         try:
             self._record = msgspec.json.decode(stored.value, type=LeaseRecord)
         except msgspec.DecodeError:
@@ -304,7 +310,7 @@
     def _lose(self) -> None:
         self._held = None
         self._in_doubt = False
-        self._seen = None
+        self._first_seen = None
         self.lost += 1
 
     def _is_contender(self) -> bool:
@@ -314,13 +320,13 @@
             if member.zone == self._settings.zone and member.state is MemberState.LIVE
         }
         live.add(self._settings.host)
-        return self._settings.host in ranked(live, self._name())[:CONTENDERS]
+        return self._settings.host in ranked(live, self._name())[:MAX_CONTENDERS]
 
     def _name(self) -> str:
         return f"{self._settings.duty}.{self._settings.zone}"
 
 
-def _carries(value: bytes, change_id: str) -> bool:
+def _contains_change(value: bytes, change_id: str) -> bool:
     try:
         return msgspec.json.decode(value, type=LeaseRecord).change_id == change_id
     except msgspec.DecodeError:
--- a/radishfield/fleet/_packed.py
+++ b/radishfield/fleet/_packed.py
@@ -1,10 +1,10 @@
 """Reads packed Cap'n Proto messages that may be damaged.
 
-pycapnp's own reader of the packed form ends the whole process on some damaged
+pycapnp's own reader of the packed form aborts the whole process on some damaged
 messages: the C++ library throws in a destructor, which no caller can catch.
-The packing is undone here instead, and the flat message is given to the flat
-reader, whose checks come back as exceptions.  60,000 damaged messages went
-through it without an abort; the same kind aborted the packed reader.
+Messages are therefore unpacked here and given to the flat reader, whose checks
+raise exceptions.  60,000 damaged messages went through it without an abort;
+messages of the same kind aborted the packed reader.
 """
 
 from collections.abc import Callable
@@ -26,12 +26,12 @@
 def read_packed(
     kind, packed: bytes, convert: Callable[[object], T], max_words: int
 ) -> Result[T, Fault]:
-    """Unpack and convert a message of a schema's kind.
+    """Unpack and convert a message of a schema's struct type.
 
     Parameters
     ----------
     convert : callable
-        Gets the reader, which is gone when it returns.
+        Receives the reader, which is closed when it returns.
     max_words : int
         Bound on the unpacked size, and on what following pointers may visit.
 
@@ -47,7 +47,7 @@
     except (capnp.KjException, ValueError) as problem:
         return Error(_bad_frame(problem))
     except RuntimeError as problem:
-        # An enum value that this version does not know has no name to read.
+        # An enum value that this version does not define has no name to read.
         return Error(_bad_frame(problem))
 
 
@@ -61,7 +61,7 @@
     Raises
     ------
     ValueError
-        The message is cut short, or larger than ``max_bytes`` unpacked.
+        The message is truncated, or larger than ``max_bytes`` unpacked.
     """
     flat = bytearray()
     position = 0
@@ -82,7 +82,7 @@
             flat += _word(tag, _slice(packed, position, end))
             position = end
         if len(flat) > max_bytes:
-            raise ValueError("unpacks to more than is allowed")
+            raise ValueError("unpacked message is larger than the limit")
     return bytes(flat)
 
 
@@ -97,7 +97,7 @@
 
 def _slice(packed: bytes, start: int, end: int) -> bytes:
     if end > len(packed):
-        raise ValueError("cut short")
+        raise ValueError("packed message is truncated")
     return packed[start:end]
 
 
--- a/radishfield/fleet/_ports.py
+++ b/radishfield/fleet/_ports.py
@@ -1,4 +1,4 @@
-"""What the fleet asks of the network between entry hosts, beside `PeerPort`."""
+"""Port for messages between entry hosts, which adds datagrams to `PeerPort`."""
 
 from collections.abc import Callable, Sequence
 from typing import Protocol
@@ -9,21 +9,21 @@
 
 
 class PeerMessages(PeerPort, Protocol):
-    """Questions and answers, and datagrams that may be lost."""
+    """Requests and answers, and datagrams that may be lost."""
 
     async def tell(self, member_ids: Sequence[str], topic: str, payload: bytes) -> None:
-        """Send one datagram to each member; it may be lost or come twice."""
+        """Send one datagram to each member; it may be lost or duplicated."""
 
     def hear(self, topic: str, handler: NewsHandler) -> None:
-        """Register what takes in a topic's datagrams, with the sender's id."""
+        """Register a handler of a topic's datagrams; it gets the sender's id first."""
 
     def add_seeds(self, addresses: Sequence[str]) -> None:
-        """Try these addresses too when members are looked for."""
+        """Add addresses to try when members are discovered."""
 
     def compare_state(
         self, digest: Callable[[], int], differs: Callable[[str], None]
     ) -> None:
-        """Carry a digest of this host's state in each heartbeat.
+        """Send a digest of this host's state in each heartbeat.
 
-        ``differs`` gets the id of a member whose heartbeat carried another one.
+        ``differs`` gets the id of a member whose heartbeat has a different one.
         """
--- a/radishfield/fleet/_rendezvous.py
+++ b/radishfield/fleet/_rendezvous.py
@@ -1,7 +1,7 @@
-"""Rendezvous hashing: which members of a set do a shared duty.
+"""Rendezvous hashing: chooses the members of a set that perform a shared duty.
 
-Every host that knows the same members names the same ones, without a message.
-When a member comes or goes, only the duties that it holds move.
+Hosts that know the same members choose the same ones, without a message.
+When a member joins or leaves, only the duties that it holds move.
 """
 
 from collections.abc import Iterable
@@ -10,7 +10,7 @@
 
 
 def ranked(member_ids: Iterable[str], key: str) -> list[str]:
-    """Return the members in the order in which they are to do the duty."""
+    """Return the members in order of preference for the duty."""
     return sorted(member_ids, key=lambda member_id: _weight(member_id, key))
 
 
--- a/radishfield/fleet/_settled_write.py
+++ b/radishfield/fleet/_settled_write.py
@@ -1,11 +1,11 @@
-"""A conditional write whose lost answer is settled by reading back.
+"""Conditional write that is read back if its answer is lost.
 
-An answer lost after the write took effect leaves the writer in doubt.  Giving
-up would tell an operator "failed" about a change that is in force; writing
-again blindly would meet the own first try as a conflict and report another
-operator's win.  Each change therefore carries an identity of its own, which the
-writer looks for in what is stored.  Writing again under the same expected
-version is safe: the platform lets at most one of the tries take effect.
+If an answer is lost after the write took effect, the writer can't know the
+outcome.  Stopping there would report "failed" to an operator about a change that
+is active; writing again blindly would conflict with the writer's own first
+attempt and report that another operator won.  Each change therefore carries an
+id, which the writer looks for in the stored value.  Writing again under the same
+expected version is safe: the platform lets at most one of the attempts take effect.
 """
 
 from collections.abc import Callable
@@ -21,32 +21,32 @@
     fault,
 )
 
-SETTLE_STEPS = 8
-"""Bound on writes and reads of one change; with the waits below about 6 s."""
+MAX_ATTEMPTS = 8
+"""Bound on writes and reads of one change; with the delays below about 6 s."""
 
-STEP_WAITS_S = (0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2)
-"""A stale read or a short outage passes within these; an operator waits."""
+ATTEMPT_DELAYS_S = (0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2)
+"""A stale read or a short outage ends within these, while an operator waits."""
 
-Carries = Callable[[bytes], bool]
+ContainsChange = Callable[[bytes], bool]
 
 
 async def write_settled(
     platform: PlatformPort,
     wanted: StoredObject,
-    carries: Carries,
-    steps: int = SETTLE_STEPS,
+    contains_change: ContainsChange,
+    max_attempts: int = MAX_ATTEMPTS,
 ) -> Result[StoredObject, Fault]:
-    """Write and find out whether it took effect.
+    """Write a value and determine whether the write took effect.
 
     Parameters
     ----------
     wanted : StoredObject
         ``version`` is the stored version that the change expects.
-    carries : callable
-        Tells from a stored value whether the change went into it, also as one
-        of the changes before the newest.
-    steps : int
-        Writes at the most; fewer where the caller has its own next time.
+    contains_change : callable
+        Returns whether a stored value contains the change, also as one of the
+        changes before the newest.
+    max_attempts : int
+        Maximum number of writes; lower where the caller itself writes again later.
 
     Returns
     -------
@@ -56,7 +56,7 @@
         proves that nothing was written.
     """
     in_doubt = False
-    for step in range(steps):
+    for attempt in range(max_attempts):
         written = await platform.write(
             wanted.kind, wanted.name, wanted.value, wanted.version
         )
@@ -71,24 +71,29 @@
             ResultCode.PLATFORM_AMBIGUOUS,
             ResultCode.PLATFORM_CONFLICT,
         ):
-            settled = await _settle(platform, wanted, carries)
+            settled = await _settle(platform, wanted, contains_change)
             if settled is not None:
                 return settled
-        if step < min(steps - 1, len(STEP_WAITS_S)):
-            await trio.sleep(STEP_WAITS_S[step])
-    return Error(fault(ResultCode.PLATFORM_AMBIGUOUS, "could not be read back"))
+        if attempt < min(max_attempts - 1, len(ATTEMPT_DELAYS_S)):
+            await trio.sleep(ATTEMPT_DELAYS_S[attempt])
+    return Error(
+        fault(
+            ResultCode.PLATFORM_AMBIGUOUS,
+            "the outcome of the write could not be read back",
+        )
+    )
 
 
 async def _settle(
-    platform: PlatformPort, wanted: StoredObject, carries: Carries
+    platform: PlatformPort, wanted: StoredObject, contains_change: ContainsChange
 ) -> Result[StoredObject, Fault] | None:
-    """Read back; None where the read proves nothing (old, or not possible)."""
+    """Read the value back; None if the read proves nothing (stale, or failed)."""
     read = await platform.read(wanted.kind, wanted.name)
     if read.is_error():
         return None
     stored = read.ok
     if stored.version <= wanted.version:
         return None
-    if carries(stored.value):
+    if contains_change(stored.value):
         return Ok(stored)
     return Error(fault(ResultCode.PLATFORM_CONFLICT, f"version {stored.version} won"))
--- a/radishfield/fleet/_suspicion.py
+++ b/radishfield/fleet/_suspicion.py
@@ -1,28 +1,28 @@
-"""How long a suspect member has to refute, after Lifeguard: pure.
+"""Timeout for a suspect member to refute, after Lifeguard: pure.
 
-Pattern of load: hosts are busy in waves.  With a fixed timeout either the busy
-ones die in each wave, or the dead ones are noticed late.  So the wait is long
-for a suspicion that nobody shares, and gets shorter with each host that found
-the same by itself.
+Hosts are busy in bursts.  With a fixed timeout, either busy hosts are declared
+dead in each burst, or dead ones are noticed late.  So the timeout is long for a
+suspicion that no other host shares, and gets shorter with each host that reaches
+it independently.
 """
 
 import math
 
 SUSPICION_FACTOR = 3.0
-"""Times log10 of the size, in probe periods: SWIM's usual range is 3 to 5."""
+"""Times log10 of the fleet size, in probe periods; 3 to 5 is typical for SWIM."""
 
-LONG_SUSPICION = 3.0
-"""An accusation that nobody shares gets three times as long to be refuted."""
+UNCONFIRMED_FACTOR = 3.0
+"""A suspicion that no other host shares has a timeout three times as long."""
 
 CONFIRMATIONS = 3
-"""Independent accusers after which the shortest timeout holds (Lifeguard's k)."""
+"""Further accusers after which the shortest timeout holds (Lifeguard's k)."""
 
 
 def suspicion_s(members: int, accusers: int, period_s: float) -> float:
-    """Return how long a suspicion lasts that so many members share."""
+    """Return how long a suspicion with so many accusers lasts in a fleet."""
     shortest = SUSPICION_FACTOR * max(1.0, math.log10(members)) * period_s
-    longest = shortest * LONG_SUSPICION
-    # In a fleet too small for so many accusers, fewer have to do.
+    longest = shortest * UNCONFIRMED_FACTOR
+    # A fleet too small for so many accusers needs fewer.
     needed = min(CONFIRMATIONS, members - 2)
     if needed < 1:
         return shortest
--- a/radishfield/fleet/_wire.py
+++ b/radishfield/fleet/_wire.py
@@ -1,7 +1,7 @@
-"""Cap'n Proto forms of what entry hosts tell each other about the fleet.
+"""Cap'n Proto forms of the messages about the fleet between entry hosts.
 
-pycapnp serves as a codec only: its own RPC needs another event loop.  What does
-not decode, or is larger than its limits, comes back as ``BAD_FRAME``.
+pycapnp serves as a codec only: its own RPC needs another event loop.  A message
+that does not decode, or is larger than its limits, is returned as ``BAD_FRAME``.
 """
 
 from collections.abc import Callable, Sequence
@@ -26,13 +26,13 @@
 _schema = capnp.load(str(Path(__file__).with_name("fleet.capnp")))
 
 TRAVERSAL_WORDS = 1 << 19
-"""4 MB: bounds what a packed message may unfold to, whatever it claims."""
+"""4 MB: bounds the unpacked size of a message, whatever size it declares."""
 
 
 def decode(
     kind, payload: bytes, convert: Callable[[object], T], words: int = TRAVERSAL_WORDS
 ) -> Result[T, Fault]:
-    """Decode a packed message and convert it; garbage is a value, not a raise."""
+    """Decode and convert a packed message; a malformed one returns a fault."""
     return read_packed(kind, payload, convert, words)
 
 
@@ -49,22 +49,22 @@
 
 
 def encode_sync_question(bucket_digests: Sequence[int]) -> bytes:
-    """Encode the digests of the asking host's table."""
+    """Encode the digests of the requesting host's table."""
     message = _schema.SyncQuestion.new_message(bucketDigests=list(bucket_digests))
     return message.to_bytes_packed()
 
 
 def decode_sync_question(payload: bytes) -> Result[Sequence[int], Fault]:
-    """Decode the digests of the asking host's table."""
+    """Decode the digests of the requesting host's table."""
     return decode(
-        _schema.SyncQuestion, payload, lambda asked: list(asked.bucketDigests)
+        _schema.SyncQuestion, payload, lambda request: list(request.bucketDigests)
     )
 
 
 def encode_sync_answer(
     is_known: bool, versions: Sequence[FactVersion], bucket_digests: Sequence[int]
 ) -> bytes:
-    """Encode what the answering host has where the digests differ."""
+    """Encode the versions at the answering host where the digests differ."""
     message = _schema.SyncAnswer.new_message(
         isKnown=is_known, bucketDigests=list(bucket_digests)
     )
@@ -75,7 +75,7 @@
 def decode_sync_answer(
     payload: bytes,
 ) -> Result[tuple[bool, Sequence[FactVersion], Sequence[int]], Fault]:
-    """Decode whether the other table is known, its versions and its digests."""
+    """Decode whether the other host knows its table, its versions and digests."""
     return decode(
         _schema.SyncAnswer,
         payload,
@@ -90,7 +90,7 @@
 def encode_exchange(
     wanted: Sequence[FactVersion], offered: Sequence[StoredObject]
 ) -> bytes:
-    """Encode the facts asked for and the newer ones brought along."""
+    """Encode the requested facts and the newer ones sent along."""
     message = _schema.SyncExchange.new_message()
     _fill_versions(message.init("wanted", len(wanted)), wanted)
     _fill_facts(message.init("offered", len(offered)), offered)
@@ -100,7 +100,7 @@
 def decode_exchange(
     payload: bytes,
 ) -> Result[tuple[Sequence[FactVersion], Sequence[StoredObject]], Fault]:
-    """Decode the facts asked for and the newer ones brought along."""
+    """Decode the requested facts and the newer ones sent along."""
     return decode(
         _schema.SyncExchange,
         payload,
@@ -109,14 +109,14 @@
 
 
 def encode_versions(versions: Sequence[FactVersion]) -> bytes:
-    """Encode the versions in force at a host."""
+    """Encode the versions active at a host."""
     message = _schema.ProfileVersions.new_message()
     _fill_versions(message.init("versions", len(versions)), versions)
     return message.to_bytes_packed()
 
 
 def decode_versions(payload: bytes) -> Result[Sequence[FactVersion], Fault]:
-    """Decode the versions in force at a host."""
+    """Decode the versions active at a host."""
     return decode(
         _schema.ProfileVersions, payload, lambda answer: _versions(answer.versions)
     )
@@ -124,7 +124,7 @@
 
 @dataclass(slots=True, frozen=True)
 class BriefLoad:
-    """The part of a load report that changes all the time."""
+    """The fields of a load report that change frequently."""
 
     target_hash: int
     in_flight: int
@@ -134,14 +134,14 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadBatch:
-    """Load reports in whole, and in brief for targets told of before."""
+    """Complete load reports, and brief ones for targets reported completely before."""
 
     reports: Sequence[LoadReport]
     briefs: Sequence[BriefLoad]
 
 
 def encode_loads(batch: LoadBatch) -> bytes:
-    """Encode a batch of load reports; counts are cut off at 65,535."""
+    """Encode a batch of load reports; counts are capped at 65,535."""
     message = _schema.LoadBatch.new_message(
         targetHashes=[brief.target_hash for brief in batch.briefs],
         inFlight=[min(brief.in_flight, 0xFFFF) for brief in batch.briefs],
--- a/radishfield/fleet/claims.capnp
+++ b/radishfield/fleet/claims.capnp
@@ -1,7 +1,7 @@
 @0xc4a8e5d17b90f36a;
-# What entry hosts ask each other about idempotency claims.
-# Fields are only ever added, at the end, with a default that an older host
-# may assume.
+# Messages between entry hosts about idempotency claims.
+# Fields are only added, at the end, with a default that is right for older hosts,
+# which do not know them.
 
 enum State {
   claimed @0;
@@ -11,7 +11,7 @@
 }
 
 struct Record {
-  # Digest of workspace and key; the key itself stays with its host.
+  # Digest of workspace and key; the key itself is not sent to other hosts.
   place @0 :Text;
   digest @1 :Text;
   claimId @2 :Text;
--- a/radishfield/fleet/claims_test.py
+++ b/radishfield/fleet/claims_test.py
@@ -16,7 +16,7 @@
 )
 from radishfield.fleet import Claimed, Claims, ClaimSettings, Replay
 from radishfield.fleet._claims_book import (
-    MAX_ANSWERS_BYTES,
+    MAX_TOTAL_ANSWER_BYTES,
     ClaimBook,
     ClaimRecord,
     ClaimState,
@@ -337,7 +337,7 @@
     for record in records[:300]:
         book.settle(record, ClaimState.FINISHED, answer, 0.0)
     kept = [book.find(record.place, 0.0).answer for record in records[:300]]
-    assert 0 < sum(len(each) for each in kept if each) <= MAX_ANSWERS_BYTES
+    assert 0 < sum(len(each) for each in kept if each) <= MAX_TOTAL_ANSWER_BYTES
     assert book.put(records[300], 60.0)
 
 
--- a/radishfield/fleet/fleet.capnp
+++ b/radishfield/fleet/fleet.capnp
@@ -1,7 +1,7 @@
 @0xb1f0c7a95d3e4a21;
-# What entry hosts tell each other about the fleet; one struct a topic.
-# Fields are only ever added, at the end, with a default that an older host
-# may assume.
+# Messages between entry hosts about the fleet; one struct per topic.
+# Fields are only added, at the end, with a default that is right for older hosts,
+# which do not know them.
 
 struct Fact {
   kind @0 :Text;
@@ -21,7 +21,7 @@
 }
 
 struct SyncQuestion {
-  # One digest a bucket, of the asking host's table.
+  # One digest per bucket of the requesting host's table.
   bucketDigests @0 :List(UInt64);
 }
 
@@ -55,7 +55,7 @@
 
 struct LoadBatch {
   reports @0 :List(LoadReport);
-  # Below: one entry a target, of targets told of in whole before.
+  # Below, in brief: one entry per target that was reported completely before.
   targetHashes @1 :List(UInt64);
   inFlight @2 :List(UInt16);
   queued @3 :List(UInt16);
--- a/radishfield/fleet/packed_test.py
+++ b/radishfield/fleet/packed_test.py
@@ -30,17 +30,17 @@
     Bytes are changed, the end is cut off, or both.  The packed reader of the
     library ended the process on some of these.
     """
-    chance = random.Random(1)
-    whole = packed_record()
+    rng = random.Random(1)
+    packed = packed_record()
     faults = 0
     for _ in range(3000):
-        damaged = bytearray(whole)
-        for _ in range(chance.randint(1, 4)):
-            damaged[chance.randrange(len(damaged))] = chance.randrange(256)
-        cut = chance.randrange(len(damaged)) if chance.random() < 0.3 else None
+        damaged = bytearray(packed)
+        for _ in range(rng.randint(1, 4)):
+            damaged[rng.randrange(len(damaged))] = rng.randrange(256)
+        end = rng.randrange(len(damaged)) if rng.random() < 0.3 else None
         read = read_packed(
             _schema.Record,
-            bytes(damaged[:cut]),
+            bytes(damaged[:end]),
             lambda record: (record.claimId, str(record.state), bytes(record.answer)),
             MAX_WORDS,
         )
