--- a/radishfield/fleet/claims_test.py
+++ b/radishfield/fleet/claims_test.py
@@ -1,4 +1,4 @@
-"""Tests that a key is granted at most once, whatever its copies meet."""
+"""Tests that a key is granted at most once, whatever happens to its requests."""
 
 import trio
 import trio.testing
@@ -30,7 +30,7 @@
 
 
 class Network:
-    """Hosts that ask each other and share one platform."""
+    """Hosts that query each other and share one platform."""
 
     __slots__ = (
         "claims_by_id",
@@ -39,7 +39,7 @@
         "scopes_by_id",
         "nursery",
         "dead_ids",
-        "unheard_ids",
+        "undiscovered_ids",
     )
 
     def __init__(self, nursery):
@@ -49,7 +49,7 @@
         self.platform = FakePlatform(TrioClock())
         self.nursery = nursery
         self.dead_ids = set()
-        self.unheard_ids = set()
+        self.undiscovered_ids = set()
 
     async def start(self, host_id):
         self.dead_ids.discard(host_id)
@@ -83,7 +83,7 @@
         living = [
             Member(each, zone_of(each), "", 1)
             for each in self.network.peers_by_id
-            if each == self.host_id or each not in self.network.unheard_ids
+            if each == self.host_id or each not in self.network.undiscovered_ids
         ]
         dead = [
             Member(each, zone_of(each), "", 1, MemberState.DEAD)
@@ -96,7 +96,7 @@
 
     async def ask(self, member_id, topic, payload, timeout_s):
         await trio.sleep(0.001)
-        if member_id in self.network.unheard_ids:
+        if member_id in self.network.undiscovered_ids:
             return Error(fault(ResultCode.PEER_UNREACHABLE))
         other = self.network.peers_by_id.get(member_id)
         if other is None:
@@ -133,11 +133,11 @@
     return result.is_ok() and isinstance(result.ok, Claimed)
 
 
-def test_a_repeat_through_another_host_is_told_how_the_first_copy_goes():
-    """The caller's repeat never starts a second run.
+def test_retry_at_another_host_gets_the_state_of_the_first_request():
+    """A caller's retry never starts a second run.
 
-    The first copy is claimed through one host.  Repeats through another are
-    told that it still runs, then get its answer; another body is refused.
+    The first request is claimed at one host.  Retries at other hosts are answered
+    that it still runs, then get its answer; a different body is refused.
     """
 
     async def scenario(network):
@@ -155,42 +155,42 @@
     run(scenario)
 
 
-def test_a_repeat_after_its_first_host_died_in_the_run_is_unknown():
-    """The caller is told the truth though the host that ran the copy is gone.
+def test_retry_after_the_claiming_host_died_has_an_unknown_outcome():
+    """The claiming host dies between claim and end, and restarts without its state.
 
-    The host dies between claim and end and comes back without memory.  Nobody
-    can know how the run went, so no repeat runs, at any host.
+    No host can know how the run went, so a retry runs at no host and its outcome
+    is reported as unknown.
     """
 
     async def scenario(network):
         assert granted(await claim(network, "h0"))
         network.stop("h0")
-        lost = await claim(network, "h1")
-        assert lost.error.code == ResultCode.DUPLICATE_UNKNOWN
+        unknown = await claim(network, "h1")
+        assert unknown.error.code == ResultCode.DUPLICATE_UNKNOWN
         await network.start("h0")
         for host_id in ("h0", "h2"):
-            lost = await claim(network, host_id)
-            assert lost.error.code == ResultCode.DUPLICATE_UNKNOWN
-            assert lost.error.outcome is Outcome.UNKNOWN
+            unknown = await claim(network, host_id)
+            assert unknown.error.code == ResultCode.DUPLICATE_UNKNOWN
+            assert unknown.error.outcome is Outcome.UNKNOWN
 
     run(scenario)
 
 
-def test_a_repeat_at_a_host_that_has_just_started_waits_until_it_knows_the_first():
-    """The caller's repeat reaches a host that does not know its peers yet.
+def test_retry_at_a_new_host_waits_until_it_discovers_the_claiming_host():
+    """A caller's retry reaches a host that has not discovered its peers yet.
 
-    The first copy ran at a host that lives.  The repeat waits until the new
-    host has heard of that one, a fraction of a second, and gets the answer.
+    The first request ran at a host that is alive.  The retry waits a fraction of
+    a second until the new host has discovered that one, and gets the answer.
     """
 
     async def scenario(network):
         first = await claim(network, "h0")
-        network.unheard_ids.add("h0")
+        network.undiscovered_ids.add("h0")
         await network.claims_by_id["h0"].finish(first.ok, None)
 
         async def join():
             await trio.sleep(0.4)
-            network.unheard_ids.clear()
+            network.undiscovered_ids.clear()
 
         network.nursery.start_soon(join)
         finished = await claim(network, "h1")
@@ -200,16 +200,16 @@
     run(scenario)
 
 
-def test_a_repeat_at_a_new_host_that_hears_of_nobody_is_asked_to_come_back():
-    """The caller is not told for good what a host of ten seconds can't know.
+def test_retry_at_a_new_host_that_discovers_no_claimant_gets_a_retry_time():
+    """A host gives no final refusal in its first ten seconds.
 
-    While the host is new the repeat is refused with a time to come back; once
-    it is old enough, a claimant that it does not know is one that is gone.
+    While the host is new, the retry is refused with a retry time; once it is old
+    enough, a claimant that it does not know counts as gone.
     """
 
     async def scenario(network):
         assert granted(await claim(network, "h0"))
-        network.unheard_ids.add("h0")
+        network.undiscovered_ids.add("h0")
         early = await claim(network, "h1")
         assert early.error.code == ResultCode.CLAIM_UNAVAILABLE
         assert early.error.retry_after_s
@@ -221,8 +221,8 @@
     run(scenario)
 
 
-def test_a_repeat_gets_the_answer_though_its_first_host_has_gone():
-    """The caller gets its first run's answer from a copy at another host."""
+def test_retry_gets_the_answer_from_a_copy_after_the_claiming_host_stopped():
+    """The caller gets the answer of its first run from a copy at another host."""
 
     async def scenario(network):
         first = await claim(network, "h0")
@@ -235,8 +235,8 @@
     run(scenario)
 
 
-def test_a_released_key_runs_and_the_store_forgets_the_first_claim():
-    """The caller's repeat runs, because the first copy is proven not to have."""
+def test_a_released_key_can_be_claimed_and_its_first_claim_leaves_the_store():
+    """A caller's retry runs, because the first request is proven not to have run."""
 
     async def scenario(network):
         first = await claim(network, "h0")
@@ -250,19 +250,19 @@
     run(scenario)
 
 
-def test_two_copies_that_race_are_granted_once():
-    """Of two copies sent at the same moment, one runs; the other is in flight."""
+def test_concurrent_claims_of_a_key_are_granted_once():
+    """Of requests sent at the same moment, one runs; the others get "in flight"."""
 
     async def scenario(network):
         results = []
 
-        async def one(host_id):
+        async def send_claim(host_id):
             results.append(await claim(network, host_id))
 
         network.platform.faults.delay_s = 0.01
         async with trio.open_nursery() as nursery:
             for host_id in ("h0", "h1", "h2"):
-                nursery.start_soon(one, host_id)
+                nursery.start_soon(send_claim, host_id)
         assert sum(granted(result) for result in results) == 1
         losers = [result.error.code for result in results if result.is_error()]
         assert losers == [ResultCode.DUPLICATE_IN_FLIGHT] * 2
@@ -270,8 +270,8 @@
     run(scenario)
 
 
-def test_a_claim_whose_write_lost_its_answer_is_found_again_and_granted():
-    """The caller notices nothing: the write took effect and is read back."""
+def test_a_claim_whose_write_lost_its_answer_is_read_back_and_granted():
+    """The claim is granted: the write took effect and is read back."""
 
     async def scenario(network):
         network.platform.faults.lost_answers = 1
@@ -282,12 +282,12 @@
     run(scenario)
 
 
-def test_without_the_platform_a_new_key_is_refused_and_never_told_not_run():
-    """The caller is told to come back, and that the outcome is unknown.
+def test_without_the_platform_a_new_key_is_refused_with_an_unknown_outcome():
+    """The caller gets a retry time and an unknown outcome.
 
-    This copy did not run.  Another with the same key may have, where this host
-    can't see it, so "not run" would not be true of the request.  What this host
-    knows itself, it still tells.
+    This request did not run.  Another with the same key may have, where this host
+    can't see it, so "not run" would be wrong.  The host still replays answers that
+    it keeps itself.
     """
 
     async def scenario(network):
@@ -304,7 +304,7 @@
 
 
 def test_a_cancelled_claim_frees_its_key():
-    """The caller hangs up while its key is claimed; a later copy runs."""
+    """The caller disconnects while its key is claimed; a later request runs."""
 
     async def scenario(network):
         network.platform.faults.delay_s = 1.0
@@ -317,7 +317,7 @@
     run(scenario)
 
 
-def test_a_slot_drops_what_has_expired_and_keeps_the_rest():
+def test_a_slot_drops_expired_claims_and_keeps_the_rest():
     old = StoredClaim("a", "d", "1", "h0", expires_unix=100.0)
     live = StoredClaim("b", "d", "2", "h0", expires_unix=900.0)
     slot = Slot((old, live), version=3)
@@ -328,7 +328,7 @@
     assert slot.find("a", unix_now=161.0) is None
 
 
-def test_a_full_book_refuses_and_kept_answers_stay_within_their_bytes():
+def test_a_full_book_refuses_records_and_limits_the_bytes_of_answers():
     book = ClaimBook(max_records=300)
     answer = b"x" * 60_000
     records = [ClaimRecord(f"p{n}", "d", f"c{n}", "h0", 50.0) for n in range(301)]
--- a/radishfield/fleet/leases_test.py
+++ b/radishfield/fleet/leases_test.py
@@ -1,4 +1,4 @@
-"""Tests of leases and of the orders given under them."""
+"""Tests of leases and of the orders sent under them."""
 
 import random
 
@@ -28,7 +28,7 @@
 
 
 class PausableClock:
-    """Trio's time plus what the host was suspended."""
+    """Trio's time plus the time for which the host was suspended."""
 
     def __init__(self):
         self.suspended_s = 0.0
@@ -43,7 +43,7 @@
 
 
 class FencedTargets:
-    """Targets that take orders; some refuse an older fencing number."""
+    """Targets that accept orders; some refuse an older fencing number."""
 
     def __init__(self):
         self.orders = []
@@ -106,8 +106,8 @@
     trio.run(with_setup, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def test_one_holder_and_the_next_one_after_the_lease_has_ended():
-    """The holder loses the platform; the other contender takes over.
+def test_next_holder_takes_over_only_after_the_lease_has_ended():
+    """The holder is disconnected from the platform; the other contender takes over.
 
     At no moment may both hold the lease by their own count.
     """
@@ -134,11 +134,11 @@
     run(main)
 
 
-def test_paused_holder_that_wakes_gives_no_order():
-    """A holder is suspended past its lease and wakes to a waiting order.
+def test_resumed_holder_with_an_expired_lease_sends_no_order():
+    """A holder is suspended past the end of its lease and resumes with a pending order.
 
-    Its own clock must show the lease as lapsed before anything is sent; the
-    renewal that would tell it so has not run yet.
+    Its own clock must show the lease as expired before anything is sent; the
+    renewal that would detect it has not run yet.
     """
 
     async def main(setup):
@@ -162,7 +162,7 @@
     """Renewals take effect while their answers are lost.
 
     The holder reads its change back and keeps the lease, counted from before
-    the write; with the platform down it holds only until the old end.
+    the write; with the platform down it holds it only until the old end.
     """
 
     async def main(setup):
@@ -190,7 +190,7 @@
     run(main)
 
 
-def test_drained_holder_gives_the_lease_back_at_once():
+def test_drained_holder_releases_the_lease_at_once():
     async def main(setup):
         await setup.first.step()
         await setup.first.drain()
@@ -204,11 +204,11 @@
     run(main)
 
 
-def test_target_that_ignores_fencing_gets_orders_after_the_old_holders_last():
-    """A new holder has orders for a target that checks and one that does not.
+def test_target_that_ignores_fencing_gets_no_order_while_an_old_one_is_valid():
+    """A new holder has orders for a target that checks fencing and one that does not.
 
-    The old holder's last order may still be on its way, valid for 5 s.  The
-    checking target would refuse it; the other one would run both.
+    The old holder's last order may still be in flight, valid for 5 s.  The
+    checking target would refuse it; the other one would execute both.
     """
 
     async def main(setup):
@@ -231,11 +231,11 @@
     run(main)
 
 
-def test_last_replica_is_never_taken_and_loads_are_spread():
-    """A plan wants three targets that hold the same layers to load others.
+def test_last_replica_is_kept_and_loads_are_spread_over_time():
+    """A plan lets all three targets that hold the same layers load others.
 
-    Two may go, one after the other under the weight store's rate; the third
-    would leave the layers without any target, and callers without answers.
+    Two may load, one after the other at the weight store's rate; the third would
+    leave the layers without any target, and callers without answers.
     """
 
     async def main(setup):
--- a/radishfield/fleet/membership_test.py
+++ b/radishfield/fleet/membership_test.py
@@ -13,7 +13,7 @@
 
 
 def membership_of(size, own="h0"):
-    """Return a membership that knows so many hosts in three zones."""
+    """Return a membership with ``size`` hosts in three zones."""
     membership = Membership(update(own, "z0"), PERIOD_S, random.Random(1))
     for number in range(1, size):
         membership.observe(update(f"h{number}", f"z{number % 3}"), 0.0)
@@ -25,7 +25,7 @@
 
 
 def tick_until(membership, end):
-    """Tick each half second, as a running host does; return the dead ones' ids."""
+    """Tick every half second, as a running host does; return ids declared dead."""
     dead = []
     for step in range(int(end / PERIOD_S) + 1):
         dead += [member.id for member in membership.tick(step * PERIOD_S)]
@@ -43,16 +43,16 @@
 
 
 def test_slow_member_that_refutes_is_not_declared_dead():
-    """A busy host answers late: it is suspected, hears so, and refutes.
+    """A busy host answers late: it is suspected, receives that update, and refutes it.
 
     It must stay a member under the same incarnation; a new incarnation would
-    tell others that it has lost its memory.
+    show others that it has lost its in-memory state.
     """
     accuser, slow = membership_of(9), membership_of(9, own="h1")
     accuser.not_answered("h1", 0.0, heard_any=True)
-    told = accuser.updates_to_tell("h1", limit=1)
-    assert told[0].id == "h1" and told[0].state is MemberState.SUSPECT
-    slow.observe(told[0], 1.0)
+    updates = accuser.updates_to_tell("h1", limit=1)
+    assert updates[0].id == "h1" and updates[0].state is MemberState.SUSPECT
+    slow.observe(updates[0], 1.0)
     assert slow.false_accusations == 1
     accuser.observe(slow.own, 1.0)
     assert state_of(accuser, "h1") is MemberState.LIVE
@@ -60,7 +60,7 @@
     assert tick_until(accuser, 60.0) == []
 
 
-def test_shared_suspicion_ends_sooner_and_a_lonely_one_later():
+def test_shared_suspicion_times_out_sooner_than_an_unshared_one():
     membership = membership_of(340)
     waits = [membership.suspicion_s(accusers) for accusers in (1, 2, 3, 4)]
     assert waits == sorted(waits, reverse=True)
@@ -75,7 +75,7 @@
     assert tick_until(membership, waits[-1] + PERIOD_S) == ["h1"]
 
 
-def test_host_that_hears_nobody_takes_itself_for_the_slow_one():
+def test_host_that_receives_nothing_raises_its_health_penalty():
     membership = membership_of(9)
     membership.not_answered("h1", 0.0, heard_any=True)
     assert membership.health_penalty == 0
@@ -86,11 +86,11 @@
     assert membership.health_penalty == 7
 
 
-def test_pause_of_the_process_ends_no_suspicion():
-    """A host suspects a peer, is paused for a minute, and wakes.
+def test_pause_of_the_process_does_not_time_out_a_suspicion():
+    """A host suspects a peer, is paused for a minute, and resumes.
 
-    In the pause no refutation could arrive.  Counting it would declare every
-    suspect dead at the moment of waking.
+    During the pause no refutation could arrive.  Counting it would declare every
+    suspect dead as soon as the host resumes.
     """
     membership = membership_of(9)
     membership.not_answered("h1", 0.0, heard_any=True)
@@ -99,7 +99,7 @@
     assert state_of(membership, "h1") is MemberState.SUSPECT
 
 
-def test_leaving_is_sticky_until_a_new_incarnation_and_can_still_die():
+def test_leaving_state_stays_until_a_new_incarnation_or_death():
     membership = membership_of(9)
     membership.observe(update("h1", state=MemberState.LEAVING), 0.0)
     membership.observe(update("h1"), 0.0)
@@ -112,13 +112,13 @@
     assert state_of(membership, "h1") is MemberState.LIVE
 
 
-def test_restart_with_an_earlier_clock_passes_its_former_self():
+def test_restart_with_an_earlier_clock_gets_a_higher_incarnation():
     membership = membership_of(3)
     membership.observe(update("h0", "z0", incarnation=50), 0.0)
     assert membership.own.incarnation == 51
 
 
-def test_probes_reach_every_member_and_mostly_the_own_zone():
+def test_probes_reach_every_member_and_mostly_the_same_zone():
     membership = membership_of(30)
     probed = [membership.next_probe().id for _ in range(200)]
     assert set(probed) == {f"h{number}" for number in range(1, 30)}
@@ -128,15 +128,15 @@
     assert helpers[0].zone == "z1" and helpers[0].id != "h1"
 
 
-def test_updates_are_told_a_bounded_number_of_times():
+def test_updates_are_sent_a_bounded_number_of_times():
     membership = membership_of(9)
-    told = [membership.updates_to_tell("", 6) for _ in range(60)]
-    assert all(len(updates) <= 6 for updates in told) and told[-1] == []
+    batches = [membership.updates_to_tell("", 6) for _ in range(60)]
+    assert all(len(updates) <= 6 for updates in batches) and batches[-1] == []
     membership.not_answered("h1", 0.0, heard_any=True)
     assert [update.id for update in membership.updates_to_tell("", 6)] == ["h1"]
 
 
-def test_a_suspect_is_checked_at_once_and_once():
+def test_a_suspect_is_probed_next_and_only_once():
     membership = membership_of(9)
     accusation = update("h5", "z2", state=MemberState.SUSPECT, accuser="h3")
     membership.observe(accusation, 0.0)
--- a/radishfield/fleet/packed_test.py
+++ b/radishfield/fleet/packed_test.py
@@ -17,18 +17,18 @@
     return encode_record(ClaimRecord("p", "d", "c", "h", 9.0, answer=b"x" * 50), 0.0)
 
 
-def test_what_was_packed_is_read_back():
+def test_packed_message_is_read_back():
     read = read_packed(
         _schema.Record, packed_record(), lambda record: record.claimId, MAX_WORDS
     )
     assert read.ok == "c"
 
 
-def test_no_damage_ends_the_process():
-    """A peer's damaged message is a numbered fault, whatever the damage.
+def test_damaged_message_does_not_abort_the_process():
+    """A peer's damaged message returns a numbered fault, whatever the damage.
 
-    Bytes are changed, the end is cut off, or both.  The packed reader of the
-    library ended the process on some of these.
+    Bytes are changed, the end is truncated, or both.  pycapnp's packed reader
+    aborts the process on some of these messages.
     """
     rng = random.Random(1)
     packed = packed_record()
@@ -51,11 +51,11 @@
 
 
 @pytest.mark.parametrize("packed", [b"\x00", b"\xff12345678", b"\xff", b"\x03a"])
-def test_a_cut_message_is_refused(packed):
+def test_a_truncated_message_is_refused(packed):
     with pytest.raises(ValueError):
         unpack(packed, 1 << 20)
 
 
-def test_a_small_message_cannot_unfold_into_a_large_one():
+def test_a_small_message_cannot_unpack_to_a_large_one():
     with pytest.raises(ValueError):
         unpack(b"\x00\xff" * 1000, 1 << 16)
