--- a/radishfield/edges/_caller.py
+++ b/radishfield/edges/_caller.py
@@ -1,8 +1,7 @@
-"""The callers' edge: model requests and plain calls as an ASGI application.
+"""Serves model requests and calls to plain services as an ASGI application.
 
-Here a request enters and leaves.  What it may ask for is checked in
-``_caller_headers``, ``_caller_bodies`` and ``_caller_services``; how its answer
-looks is in ``_caller_answers`` and ``_status``.
+Requests are validated in ``_caller_headers``, ``_caller_bodies`` and
+``_caller_services``.  Answers are formatted in ``_caller_answers`` and ``_status``.
 """
 
 import trio
@@ -20,20 +19,20 @@
     TargetKind,
     fault,
 )
-from radishfield.edges._caller_answers import Answer, StreamSink, WholeSink
+from radishfield.edges._caller_answers import Answer, BufferedSink, StreamSink
 from radishfield.edges._caller_bodies import ModelCall, Shape, read_model_call
 from radishfield.edges._caller_headers import CallerHeaders, new_headers, read_headers
 from radishfield.edges._caller_intake import CallerLimits, Intake
 from radishfield.edges._caller_requests import (
     ModelEntry,
     ModelList,
-    ModelWork,
+    PreparedModelCall,
+    check_kind,
     model_request,
-    of_kind,
     service_request,
 )
 from radishfield.edges._caller_services import (
-    METHODS,
+    SERVICE_METHODS,
     SERVICES_PREFIX,
     headers_to_caller,
     read_service_path,
@@ -58,15 +57,15 @@
     "/v1/completions": Shape.COMPLETION,
 }
 MODELS_PATH = "/v1/models"
-# No profile has this name; asked for, it tells whether profiles are known.
-NO_PROFILE = ""
-# The dispatcher ends a request at its deadline.  Should it ever fail to, this
-# is the second line: the caller still gets an answer, and the place is freed.
+# No profile has this name.  Looking it up shows whether profiles are loaded.
+UNUSED_PROFILE_NAME = ""
+# The dispatcher ends a request at its deadline.  If it ever fails to, this second
+# limit still sends the caller an answer and frees the request's slot.
 DEADLINE_GRACE_S = 1.0
 
 
 class CallerApp:
-    """The ASGI application that callers speak to."""
+    """The ASGI application that serves callers."""
 
     __slots__ = (
         "_serving",
@@ -124,57 +123,57 @@
             case Result(tag="error", error=problem):
                 headers = new_headers()
         answer = Answer(send, headers)
-        mark = current_request_id.set(headers.request_id)
+        context_token = current_request_id.set(headers.request_id)
         try:
             if problem is not None:
                 await self._refuse(answer, problem)
             else:
                 await self._route(scope, receive, send, answer)
         except Exception:
-            # A defect of ours must not show a traceback, nor end a stream as if
-            # it were whole: an answer that has started is cut instead.
+            # A defect of this software must neither expose a traceback nor end a
+            # stream as if it were complete: an answer that has started is aborted.
             log_event("request.defect", 40, defect=True)
             if not answer.started:
                 await self._refuse(answer, fault(ResultCode.INTERNAL))
         finally:
-            current_request_id.reset(mark)
+            current_request_id.reset(context_token)
 
     async def _route(self, scope, receive, send, answer: Answer) -> None:
         path, method = scope["path"], scope["method"]
         if not scope["http_version"].startswith("1"):
-            # A stream that is cut over HTTP/2 would stay open for ever here.
+            # An aborted HTTP/2 stream would stay open for ever on this server.
             problem = fault(ResultCode.UNKNOWN_ROUTE, "HTTP/1.1 only")
             await self._refuse(answer, problem)
             return
         if path in SHAPE_BY_PATH:
-            if await self._allows(answer, method, "POST"):
+            if await self._check_method(answer, method, "POST"):
                 shape = SHAPE_BY_PATH[path]
-                await self._enter(
+                await self._serve_counted(
                     answer, lambda: self._serve_model(shape, receive, answer)
                 )
         elif scope["raw_path"].startswith(SERVICES_PREFIX):
-            if await self._allows(answer, method, *METHODS):
-                await self._enter(
-                    answer, lambda: self._serve_call(scope, receive, answer)
+            if await self._check_method(answer, method, *SERVICE_METHODS):
+                await self._serve_counted(
+                    answer, lambda: self._serve_service_call(scope, receive, answer)
                 )
         elif path == MODELS_PATH or path.startswith(MODELS_PATH + "/"):
-            if await self._allows(answer, method, "GET", "HEAD"):
+            if await self._check_method(answer, method, "GET", "HEAD"):
                 await self._list_models(answer, path.removeprefix(MODELS_PATH))
         elif path in ("/healthz", "/readyz"):
-            await self._tell_health(path, send)
+            await self._send_health(path, send)
         else:
             await self._refuse(answer, fault(ResultCode.UNKNOWN_ROUTE, path[:100]))
 
-    async def _allows(self, answer: Answer, method: str, *allowed: str) -> bool:
+    async def _check_method(self, answer: Answer, method: str, *allowed: str) -> bool:
         if method in allowed:
             return True
-        words = ", ".join(allowed)
-        problem = fault(ResultCode.METHOD_NOT_ALLOWED, f"allowed: {words}")
-        self._note_refusal(problem)
-        await answer.refuse(problem, [(b"allow", words.encode())])
+        allowed_methods = ", ".join(allowed)
+        problem = fault(ResultCode.METHOD_NOT_ALLOWED, f"allowed: {allowed_methods}")
+        self._record_refusal(problem)
+        await answer.refuse(problem, [(b"allow", allowed_methods.encode())])
         return False
 
-    async def _enter(self, answer: Answer, serve) -> None:
+    async def _serve_counted(self, answer: Answer, serve) -> None:
         """Serve one request and count it in flight, or refuse it."""
         problem = self._intake.refusal()
         if problem is not None:
@@ -187,36 +186,40 @@
         arrived = self._clock.now()
         body = await read_body(receive, self._limits.body)
         match body.bind(lambda raw: read_model_call(shape, raw)).bind(
-            lambda call: self._model_work(call, answer.headers, arrived)
+            lambda call: self._prepare_model_call(call, answer.headers, arrived)
         ):
             case Result(tag="error", error=problem):
                 await self._refuse(answer, problem)
-            case Result(tag="ok", ok=ModelWork(call=call, request=request)):
+            case Result(tag="ok", ok=PreparedModelCall(call=call, request=request)):
                 self._open_record(answer.headers, request.profile)
                 await run_until_disconnect(
                     receive, lambda: self._answer_model(call, request, answer)
                 )
 
-    def _model_work(
+    def _prepare_model_call(
         self, call: ModelCall, headers: CallerHeaders, arrived: float
-    ) -> Result[ModelWork, Fault]:
+    ) -> Result[PreparedModelCall, Fault]:
         profile = self._find_profile(call.profile, TargetKind.ENGINE)
         return profile.map(
-            lambda found: ModelWork(call, model_request(headers, call, found, arrived))
+            lambda found: PreparedModelCall(
+                call, model_request(headers, call, found, arrived)
+            )
         )
 
     async def _answer_model(
         self, call: ModelCall, request: Request, answer: Answer
     ) -> None:
         if not call.is_streamed:
-            await self._generate(request, WholeSink(call, answer))
+            await self._generate(request, BufferedSink(call, answer))
             return
         sink = StreamSink(call, answer)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(sink.write_out)
+            nursery.start_soon(sink.write_events)
             await self._generate(request, sink)
 
-    async def _generate(self, request: Request, sink: StreamSink | WholeSink) -> None:
+    async def _generate(
+        self, request: Request, sink: StreamSink | BufferedSink
+    ) -> None:
         problem = fault(ResultCode.DEADLINE_PASSED)
         with self._time_limit(request):
             match await self._serving.generate(request, sink):
@@ -229,26 +232,35 @@
         else:
             await sink.fail(problem)
 
-    async def _serve_call(self, scope, receive, answer: Answer) -> None:
+    async def _serve_service_call(self, scope, receive, answer: Answer) -> None:
         arrived = self._clock.now()
-        called = read_service_path(scope["raw_path"], scope["query_string"])
-        found = called.bind(
+        service_path = read_service_path(scope["raw_path"], scope["query_string"])
+        profile = service_path.bind(
             lambda path: self._find_profile(path.profile, TargetKind.SERVICE)
         )
-        if found.is_error():
-            await self._refuse(answer, found.error)
+        if profile.is_error():
+            await self._refuse(answer, profile.error)
             return
         match await read_body(receive, self._limits.body):
             case Result(tag="error", error=problem):
                 await self._refuse(answer, problem)
             case Result(tag="ok", ok=body):
                 request = service_request(
-                    answer.headers, scope, called.ok.path, found.ok, body, arrived
+                    answer.headers,
+                    scope,
+                    service_path.ok.path,
+                    profile.ok,
+                    body,
+                    arrived,
                 )
                 self._open_record(answer.headers, request.profile)
-                await run_until_disconnect(receive, lambda: self._call(request, answer))
+                await run_until_disconnect(
+                    receive, lambda: self._answer_service_call(request, answer)
+                )
 
-    async def _call(self, request: ServiceRequest, answer: Answer) -> None:
+    async def _answer_service_call(
+        self, request: ServiceRequest, answer: Answer
+    ) -> None:
         problem = fault(ResultCode.DEADLINE_PASSED)
         with self._time_limit(request):
             match await self._serving.call_service(request):
@@ -267,7 +279,7 @@
         return trio.move_on_after(max(0.0, remaining))
 
     def _find_profile(self, name: str, kind: TargetKind) -> Result[Profile, Fault]:
-        return self._profiles.find(name).bind(lambda found: of_kind(found, kind))
+        return self._profiles.find(name).bind(lambda found: check_kind(found, kind))
 
     def _open_record(self, headers: CallerHeaders, profile: Profile) -> None:
         self._records.open(
@@ -290,31 +302,31 @@
             problem = fault(ResultCode.UNKNOWN_PROFILE, name[:100])
             await self._refuse(answer, problem)
 
-    async def _tell_health(self, path: str, send) -> None:
+    async def _send_health(self, path: str, send) -> None:
         if path == "/readyz" and self.is_draining:
             await send_bytes(send, 503, b"draining\n", b"text/plain")
-        elif path == "/readyz" and not self._knows_profiles():
+        elif path == "/readyz" and not self._has_loaded_profiles():
             await send_bytes(send, 503, b"profiles not known yet\n", b"text/plain")
         else:
             await send_bytes(send, 200, b"ok\n", b"text/plain")
 
-    def _knows_profiles(self) -> bool:
-        """Tell whether the host has learnt the profiles since it started.
+    def _has_loaded_profiles(self) -> bool:
+        """Return whether the host has received the profiles since it started.
 
-        Sent here before, requests would be refused by a host that is about to
-        be able to serve them, while its neighbours already can.
+        Until then it would refuse requests that it can serve a moment later and
+        that other hosts can serve already.
         """
-        match self._profiles.find(NO_PROFILE):
+        match self._profiles.find(UNUSED_PROFILE_NAME):
             case Result(tag="error", error=problem):
                 return problem.code is not ResultCode.PROFILES_UNKNOWN
         return True
 
     async def _refuse(self, answer: Answer, problem: Fault) -> None:
-        self._note_refusal(problem)
+        self._record_refusal(problem)
         await answer.refuse(problem)
 
-    def _note_refusal(self, problem: Fault) -> None:
-        """Count what never reached the dispatcher, which counts the rest."""
+    def _record_refusal(self, problem: Fault) -> None:
+        """Record a refusal before the dispatcher, which counts all other outcomes."""
         self._telemetry.refused(problem.code)
         self._telemetry.ended(RequestKind.UNREAD, problem.outcome, problem.code, 0.0)
         log_event(
--- a/radishfield/edges/_caller_answers.py
+++ b/radishfield/edges/_caller_answers.py
@@ -1,4 +1,4 @@
-"""How a model's tokens leave towards the caller: streamed or whole."""
+"""Sends a model's tokens to the caller: streamed or in one answer."""
 
 import time
 from collections.abc import Sequence
@@ -26,13 +26,13 @@
 )
 from radishfield.web import send_bytes, send_chunk, send_json, start_answer
 
-# About 2,000 words.  A caller that reads more slowly than its tokens come holds
-# its pipeline back from there on, and at the latest its deadline frees it.
+# About 2,000 words.  Beyond this, a caller that reads more slowly than its tokens
+# arrive blocks its pipeline, at most until the request's deadline.
 MAX_PENDING_CHARACTERS = 16 << 10
 EVENT_STREAM = [
     (b"content-type", b"text/event-stream"),
     (b"cache-control", b"no-store"),
-    # How it ends is not known yet; the last event tells.
+    # The outcome is not known yet; it is sent at the end of the stream.
     (b"x-outcome", Outcome.UNKNOWN.encode()),
     (b"x-result-code", b"pending"),
 ]
@@ -40,7 +40,7 @@
 
 
 class Answer:
-    """Sends one answer; knows the request's ids and whether it has started."""
+    """Sends one answer; holds the request's ids and whether sending has started."""
 
     __slots__ = ("_send", "headers", "started")
 
@@ -52,7 +52,7 @@
     async def refuse(
         self, problem: Fault, extra: list[tuple[bytes, bytes]] | None = None
     ) -> None:
-        """Send a fault as a whole answer."""
+        """Send a fault as a complete answer."""
         self.started = True
         headers = self.headers.answer_headers() + fault_headers(problem)
         body = error_body(problem, self.headers.caller_id)
@@ -77,23 +77,23 @@
     ) -> None:
         """Send a finished answer of bytes."""
         self.started = True
-        names = self.headers.answer_headers()
-        names += outcome_headers(Outcome.FINISHED, code)
-        await send_bytes(self._send, status, body, content_type, headers + names)
+        id_headers = self.headers.answer_headers()
+        id_headers += outcome_headers(Outcome.FINISHED, code)
+        await send_bytes(self._send, status, body, content_type, headers + id_headers)
 
     async def start_events(self) -> None:
         """Start a stream of events."""
         self.started = True
-        names = self.headers.answer_headers()
-        await start_answer(self._send, 200, EVENT_STREAM + names)
+        id_headers = self.headers.answer_headers()
+        await start_answer(self._send, 200, EVENT_STREAM + id_headers)
 
     async def events(self, chunk: bytes, more: bool = True) -> None:
-        """Send a part of a stream; ``more=False`` ends it as finished."""
+        """Send a chunk of a stream; ``more=False`` ends it as finished."""
         await send_chunk(self._send, chunk, more)
 
 
-class WholeSink:
-    """Collects the tokens of an answer that leaves in one piece."""
+class BufferedSink:
+    """Collects the tokens of an answer that is not streamed."""
 
     __slots__ = ("_call", "_answer", "_texts")
 
@@ -103,13 +103,13 @@
         self._texts: list[str] = []
 
     async def push(self, token: Token) -> None:
-        """Keep a token."""
+        """Append a token to the answer."""
         self._texts.append(token.text)
 
     async def finish(self, finished: Finished) -> None:
-        """Send the whole answer."""
+        """Send the complete answer."""
         text = "".join(self._texts)
-        choice = _whole_choice(self._call.shape, text, finished.reason)
+        choice = _complete_choice(self._call.shape, text, finished.reason)
         answer = _model_answer(
             self._call, self._answer, choice, usage=_usage(self._call, self._texts)
         )
@@ -123,10 +123,10 @@
 class StreamSink:
     """Streams tokens as events.
 
-    `push` only puts a token down; `write_out`, a task of its own, sends all
-    that has come up since its last send as one event.  A slow connection thus
-    gets fewer, larger events, and reading from the engine never waits for a
-    caller until `MAX_PENDING_CHARACTERS` are waiting.
+    `push` only buffers a token.  `write_events`, which runs as a separate task,
+    sends all tokens buffered since its last send as one event.  A slow connection
+    thus gets fewer, larger events, and reading from the engine does not wait for
+    the caller until more than `MAX_PENDING_CHARACTERS` are buffered.
     """
 
     __slots__ = (
@@ -134,12 +134,12 @@
         "_answer",
         "_pending",
         "_pending_characters",
-        "_count",
+        "_token_count",
         "_ready",
-        "_room",
+        "_capacity_freed",
         "_ending",
-        "_before",
-        "_after",
+        "_event_prefix",
+        "_event_suffix",
     )
 
     def __init__(self, call: ModelCall, answer: Answer):
@@ -147,30 +147,30 @@
         self._answer = answer
         self._pending: list[str] = []
         self._pending_characters = 0
-        self._count = 0
+        self._token_count = 0
         self._ready = trio.Event()
-        self._room = trio.Event()
+        self._capacity_freed = trio.Event()
         self._ending: Finished | Fault | None = None
-        self._before, self._after = _frame(call, answer)
+        self._event_prefix, self._event_suffix = _event_frame(call, answer)
 
     async def push(self, token: Token) -> None:
-        """Put a token down; waits only while the caller is far behind."""
+        """Buffer a token; waits only while too many characters are pending."""
         while self._pending_characters > MAX_PENDING_CHARACTERS:
-            self._room = trio.Event()
-            await self._room.wait()
-        self._put(token.text)
+            self._capacity_freed = trio.Event()
+            await self._capacity_freed.wait()
+        self._append(token.text)
 
     async def finish(self, finished: Finished) -> None:
-        """Let the writer send the rest and the end of the stream."""
+        """Make `write_events` send the rest and the end of the stream."""
         self._ending = finished
         self._ready.set()
 
     async def fail(self, problem: Fault) -> None:
-        """Let the writer send the rest and an error that ends the stream."""
+        """Make `write_events` send the rest and an error that ends the stream."""
         self._ending = problem
         self._ready.set()
 
-    async def write_out(self) -> None:
+    async def write_events(self) -> None:
         """Send events until the request has ended."""
         while True:
             await self._ready.wait()
@@ -186,28 +186,28 @@
                     await self._answer.refuse(problem)
                     return
                 case Fault() as problem:
-                    # The closing chunk is left out on purpose: the server then
-                    # cuts the connection, and no client can take the part for a
-                    # whole.
+                    # The closing chunk is omitted on purpose: the server then
+                    # closes the connection, and no client can take the truncated
+                    # stream for a complete one.
                     body = error_body(problem, self._answer.headers.caller_id)
                     await self._send(events + _event(body))
                     return
 
-    def _put(self, text: str) -> None:
+    def _append(self, text: str) -> None:
         self._pending.append(text)
         self._pending_characters += len(text)
-        self._count += 1
+        self._token_count += 1
         self._ready.set()
 
     def _take_events(self) -> bytes:
-        """Return all that is pending as one event; empty if nothing is."""
+        """Return all pending text as one event, or no bytes if none is pending."""
         if not self._pending:
             return b""
         text = "".join(self._pending)
         self._pending.clear()
         self._pending_characters = 0
-        self._room.set()
-        return self._before + msgspec.json.encode(text) + self._after
+        self._capacity_freed.set()
+        return self._event_prefix + msgspec.json.encode(text) + self._event_suffix
 
     async def _send(self, events: bytes, more: bool = True) -> None:
         if not self._answer.started:
@@ -220,7 +220,7 @@
         last = _model_answer(self._call, self._answer, choice, ending=ending)
         events = _event(last)
         if self._call.shows_usage:
-            usage = _usage(self._call, range(self._count))
+            usage = _usage(self._call, range(self._token_count))
             events += _event(_model_answer(self._call, self._answer, usage=usage))
         return events + DONE
 
@@ -230,7 +230,7 @@
     return Usage(call.prompt_tokens, count, call.prompt_tokens + count)
 
 
-def _whole_choice(
+def _complete_choice(
     shape: Shape, text: str, reason: str
 ) -> ChatChoice | CompletionChoice:
     if shape is Shape.CHAT:
@@ -267,19 +267,24 @@
     return b"data: " + msgspec.json.encode(value) + b"\n\n"
 
 
-def _frame(call: ModelCall, answer: Answer) -> tuple[bytes, bytes]:
+def _event_frame(call: ModelCall, answer: Answer) -> tuple[bytes, bytes]:
     """Return the bytes before and after an event's text.
 
-    All but the text is the same in each event of a stream: encoded once, it
-    leaves one string to encode for a token.
+    Everything but the text is the same in each event of a stream.  It is encoded
+    once, so that only the text has to be encoded for each event.
     """
-    mark = "\x00"
+    placeholder = "\x00"
     head = msgspec.json.encode(_model_answer(call, answer))
     if call.shape is Shape.CHAT:
-        choice = {"index": 0, "delta": {"content": mark}, "finish_reason": None}
+        choice = {"index": 0, "delta": {"content": placeholder}, "finish_reason": None}
     else:
-        choice = {"index": 0, "text": mark, "logprobs": None, "finish_reason": None}
-    before, after = msgspec.json.encode(choice).split(msgspec.json.encode(mark))
+        choice = {
+            "index": 0,
+            "text": placeholder,
+            "logprobs": None,
+            "finish_reason": None,
+        }
+    before, after = msgspec.json.encode(choice).split(msgspec.json.encode(placeholder))
     start, end = head.split(b'"choices":[]')
     return (
         b"data: " + start + b'"choices":[' + before,
--- a/radishfield/edges/_caller_bodies.py
+++ b/radishfield/edges/_caller_bodies.py
@@ -1,7 +1,7 @@
-"""The bodies of model requests, in the interface that clients already speak.
+"""Parses the bodies of model requests in the format of existing clients.
 
-A field that would change the answer and cannot be honoured is refused by name;
-fields that only label a request are taken and passed over.
+A field that would change the answer but is not supported is refused by name.
+Fields that only label a request are accepted and ignored.
 """
 
 import enum
@@ -16,14 +16,14 @@
 
 from radishfield.core import Fault, ResultCode, Sampling, fault
 
-# The interface's own default where a completion names no length.
+# The interface's own default for a completion without a length.
 DEFAULT_MAX_TOKENS = 16
-MAX_MAX_TOKENS = 32_768
-# Admission needs a length before any tokenizer has run; English text has about
-# four bytes a token, and admission is corrected by what is measured.
+MAX_ANSWER_TOKENS = 32_768
+# Admission needs an estimated length before any tokenizer has run.  English text
+# has about four bytes per token; admission corrects the estimate by measurements.
 BYTES_PER_TOKEN = 4
 
-Count = Annotated[int, Meta(ge=1, le=MAX_MAX_TOKENS)]
+Count = Annotated[int, Meta(ge=1, le=MAX_ANSWER_TOKENS)]
 ModelName = Annotated[str, Meta(min_length=1, max_length=64)]
 StopText = Annotated[str, Meta(min_length=1, max_length=64)]
 # Engines hold a seed in 64 bits.
@@ -34,14 +34,14 @@
 
 
 class Shape(enum.Enum):
-    """Which of the two interfaces a request came by."""
+    """The interface that a request uses: chat or text completion."""
 
     CHAT = "chat.completion"
     COMPLETION = "text_completion"
 
 
 class TextPart(msgspec.Struct, forbid_unknown_fields=True):
-    """A part of a message; only text is taken."""
+    """A part of a message; only text is supported."""
 
     type: Literal["text"]
     text: str
@@ -62,7 +62,7 @@
 
 
 class StreamOptions(msgspec.Struct, forbid_unknown_fields=True):
-    """What a caller wants to see in its stream."""
+    """Options for the events of a streamed answer."""
 
     include_usage: bool = False
     include_obfuscation: bool = False
@@ -85,7 +85,7 @@
     user: str | None = None
 
     def sampling(self) -> Sampling:
-        """Return what the engine is told about picking tokens."""
+        """Return the sampling parameters for the engine."""
         stop = [self.stop] if isinstance(self.stop, str) else self.stop or []
         return Sampling(
             self.temperature,
@@ -108,13 +108,13 @@
     prompt_cache_key: str | None = None
 
     def prompt(self) -> str:
-        """Return the conversation as one text; a lone user message stays bare."""
+        """Return the conversation as text; a single user message has no role prefix."""
         if len(self.messages) == 1 and self.messages[0].role == "user":
             return self.messages[0].text()
         return "\n".join(f"{item.role}: {item.text()}" for item in self.messages)
 
     def length(self) -> int:
-        """Return how many tokens may be generated."""
+        """Return the maximum number of tokens to generate."""
         return self.max_completion_tokens or self.max_tokens or DEFAULT_MAX_TOKENS
 
 
@@ -128,25 +128,25 @@
     best_of: Literal[1] | None = None
 
     def prompt(self) -> str:
-        """Return the one prompt."""
+        """Return the only prompt."""
         if isinstance(self.prompt_field, str):
             return self.prompt_field
         return self.prompt_field[0]
 
     def length(self) -> int:
-        """Return how many tokens may be generated."""
+        """Return the maximum number of tokens to generate."""
         return self.max_tokens or DEFAULT_MAX_TOKENS
 
 
 @dataclass(slots=True, frozen=True)
 class ModelCall:
-    """A model request's body, checked and in one form for both interfaces.
+    """A model request's body, validated and in the same form for both interfaces.
 
     Attributes
     ----------
     digest : str
-        Digest of all that decides the answer, the same for a streamed and a
-        whole answer and for any order of the body's fields.
+        Digest of all fields that determine the answer.  It is the same whether or
+        not the answer is streamed, and for any order of the body's fields.
     """
 
     shape: Shape
@@ -161,10 +161,10 @@
 
 
 def read_model_call(shape: Shape, body: bytes) -> Result[ModelCall, Fault]:
-    """Check a body and return the call that it asks for."""
-    kind = ChatBody if shape is Shape.CHAT else CompletionBody
+    """Validate a body and return the call that it describes."""
+    body_type = ChatBody if shape is Shape.CHAT else CompletionBody
     try:
-        decoded = msgspec.json.decode(body, type=kind)
+        decoded = msgspec.json.decode(body, type=body_type)
         return Ok(_model_call(shape, decoded))
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         return Error(_body_fault(str(error)))
@@ -173,7 +173,7 @@
 def _model_call(shape: Shape, body: ChatBody | CompletionBody) -> ModelCall:
     prompt = body.prompt()
     sampling = body.sampling()
-    decisive = (shape.value, body.model, prompt, body.length(), sampling)
+    digest_fields = (shape.value, body.model, prompt, body.length(), sampling)
     options = body.stream_options or StreamOptions()
     return ModelCall(
         shape=shape,
@@ -184,7 +184,7 @@
         is_streamed=bool(body.stream),
         shows_usage=options.include_usage,
         sampling=sampling,
-        digest=hashlib.sha256(msgspec.json.encode(decisive)).hexdigest(),
+        digest=hashlib.sha256(msgspec.json.encode(digest_fields)).hexdigest(),
     )
 
 
@@ -192,5 +192,5 @@
     unknown = _UNKNOWN_FIELD.search(reason)
     if unknown:
         return fault(ResultCode.UNSUPPORTED_FIELD, unknown[1])
-    # The reason names the place and what was expected there.
+    # The reason names the position in the body and what was expected there.
     return fault(ResultCode.MALFORMED_BODY, reason[:200])
--- a/radishfield/edges/_caller_headers.py
+++ b/radishfield/edges/_caller_headers.py
@@ -1,4 +1,4 @@
-"""The headers that callers may send, with their limits."""
+"""Parses the headers that callers may send and checks their limits."""
 
 import re
 import uuid
@@ -10,22 +10,23 @@
 from radishfield.core import Fault, Priority, ResultCode, fault
 
 DEFAULT_WORKSPACE = "default"
-# Longer than any profile's work; a caller that wants no limit leaves it out.
+# Longer than any profile's requests take.  A caller that wants no limit
+# omits the header.
 MAX_DEADLINE_MS = 3_600_000
 
-NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,63}", re.ASCII)
-KEY = re.compile(r"[\x21-\x7e]{1,128}", re.ASCII)
-MILLISECONDS = re.compile(r"[0-9]{1,7}", re.ASCII)
+NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,63}", re.ASCII)
+KEY_PATTERN = re.compile(r"[\x21-\x7e]{1,128}", re.ASCII)
+MILLISECONDS_PATTERN = re.compile(r"[0-9]{1,7}", re.ASCII)
 NAME_ALLOWED = "1 to 64 letters, digits, '.', '_', ':' or '-'"
 KEY_ALLOWED = "1 to 128 visible ASCII characters"
 DEADLINE_ALLOWED = f"a whole number of milliseconds from 1 to {MAX_DEADLINE_MS}"
-PRIORITY_BY_WORD = {member.name.lower(): member for member in Priority}
-PRIORITY_ALLOWED = "one of " + ", ".join(PRIORITY_BY_WORD)
+PRIORITY_BY_NAME = {member.name.lower(): member for member in Priority}
+PRIORITY_ALLOWED = "one of " + ", ".join(PRIORITY_BY_NAME)
 
 
 @dataclass(slots=True, frozen=True)
 class CallerHeaders:
-    """What a caller says about its request in headers.
+    """The values that a caller sends in the headers of its request.
 
     Attributes
     ----------
@@ -33,7 +34,7 @@
         The caller's own request id, or ``request_id`` where it sent none.
     request_id : str
         Unique in the whole system, so that two callers that send the same id
-        can never get each other's tokens.
+        never get each other's tokens.
     """
 
     request_id: str
@@ -44,7 +45,7 @@
     priority: Priority | None = None
 
     def answer_headers(self) -> list[tuple[bytes, bytes]]:
-        """Return the headers that name the request in every answer."""
+        """Return the headers that identify the request in every answer."""
         return [
             (b"x-request-id", self.caller_id.encode()),
             (b"x-radishfield-id", self.request_id.encode()),
@@ -52,7 +53,7 @@
 
 
 def new_headers(caller_id: str = "") -> CallerHeaders:
-    """Return headers that hold a fresh request id and nothing else."""
+    """Return headers with a new request id and defaults for all but the ids."""
     request_id = uuid.uuid4().hex
     return CallerHeaders(request_id, caller_id or request_id)
 
@@ -64,41 +65,41 @@
     text_by_name: dict[str, str] = {}
     for raw_name, value in headers:
         name = raw_name.decode("latin-1").lower()
-        if name not in READ_HEADERS:
+        if name not in RULE_BY_HEADER:
             continue
         if name in text_by_name:
-            return _bad(name, "sent once")
+            return _bad_header(name, "sent once")
         text_by_name[name] = value.decode("latin-1").strip()
-    fresh = new_headers(text_by_name.get("x-request-id", ""))
+    new_ids = new_headers(text_by_name.get("x-request-id", ""))
     for name, text in text_by_name.items():
-        pattern, allowed = READ_HEADERS[name]
+        pattern, allowed = RULE_BY_HEADER[name]
         if not pattern.fullmatch(text):
-            return _bad(name, allowed)
+            return _bad_header(name, allowed)
     milliseconds = int(text_by_name.get("x-deadline-ms", "0"))
     if milliseconds > MAX_DEADLINE_MS or (
         "x-deadline-ms" in text_by_name and milliseconds == 0
     ):
-        return _bad("x-deadline-ms", DEADLINE_ALLOWED)
+        return _bad_header("x-deadline-ms", DEADLINE_ALLOWED)
     return Ok(
         CallerHeaders(
-            fresh.request_id,
-            fresh.caller_id,
+            new_ids.request_id,
+            new_ids.caller_id,
             text_by_name.get("x-workspace", DEFAULT_WORKSPACE),
             text_by_name.get("idempotency-key", ""),
             milliseconds / 1000 if milliseconds else None,
-            PRIORITY_BY_WORD.get(text_by_name.get("x-priority", "")),
+            PRIORITY_BY_NAME.get(text_by_name.get("x-priority", "")),
         )
     )
 
 
-READ_HEADERS = {
-    "x-request-id": (NAME, NAME_ALLOWED),
-    "x-workspace": (NAME, NAME_ALLOWED),
-    "idempotency-key": (KEY, KEY_ALLOWED),
-    "x-deadline-ms": (MILLISECONDS, DEADLINE_ALLOWED),
-    "x-priority": (re.compile("|".join(PRIORITY_BY_WORD)), PRIORITY_ALLOWED),
+RULE_BY_HEADER = {
+    "x-request-id": (NAME_PATTERN, NAME_ALLOWED),
+    "x-workspace": (NAME_PATTERN, NAME_ALLOWED),
+    "idempotency-key": (KEY_PATTERN, KEY_ALLOWED),
+    "x-deadline-ms": (MILLISECONDS_PATTERN, DEADLINE_ALLOWED),
+    "x-priority": (re.compile("|".join(PRIORITY_BY_NAME)), PRIORITY_ALLOWED),
 }
 
 
-def _bad(name: str, allowed: str) -> Result[CallerHeaders, Fault]:
+def _bad_header(name: str, allowed: str) -> Result[CallerHeaders, Fault]:
     return Error(fault(ResultCode.BAD_HEADER, f"{name}: allowed: {allowed}"))
--- a/radishfield/edges/_caller_intake.py
+++ b/radishfield/edges/_caller_intake.py
@@ -1,4 +1,4 @@
-"""Whether this host takes another request: its limits, and its graceful end."""
+"""Limits the requests in flight on this host and drains it before shutdown."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -10,19 +10,19 @@
 from radishfield.settings import EntrySettings
 from radishfield.web import BodyLimit
 
-# The balancer has another host ready; a second covers its next choice.
+# The balancer has another host ready; one second covers its next choice.
 DRAINING_RETRY_AFTER_S = 1.0
 FULL_RETRY_AFTER_S = 1.0
 
 
 @dataclass(slots=True, frozen=True)
 class CallerLimits:
-    """What one host takes from callers at a time.
+    """Limits on what one host accepts from callers.
 
     Attributes
     ----------
     notice_s : float
-        Time in which a draining host still takes new requests.
+        Time in seconds for which a draining host still accepts new requests.
     """
 
     body: BodyLimit = BodyLimit()
@@ -31,18 +31,18 @@
 
     @classmethod
     def from_settings(cls, settings: EntrySettings) -> "CallerLimits":
-        """Return the limits that the settings file gives."""
+        """Return the limits from the settings file."""
         caller = settings.caller
         body = BodyLimit(caller.max_body_bytes, caller.body_timeout_s)
         return cls(body, caller.max_in_flight, settings.drain.notice_s)
 
 
 class Intake:
-    """Counts what is in flight, and refuses while full or leaving.
+    """Counts requests in flight and refuses new ones while full or draining.
 
-    A balancer notices that a host leaves only at its next check of readiness.
-    Refused at once, the requests that it still sends here would fail on a
-    healthy fleet; so they are taken for the notice time, and then refused.
+    A balancer notices that a host is draining only at its next readiness check.  If
+    the requests that it sends until then were refused, they would fail although the
+    fleet is healthy, so they are accepted during the notice time and then refused.
     """
 
     __slots__ = (
@@ -64,23 +64,23 @@
 
     @property
     def is_draining(self) -> bool:
-        """Return whether the host has begun to leave."""
+        """Return whether draining has started."""
         return self._draining_since is not None
 
     def start_draining(self, notice_s: float | None = None) -> None:
-        """Begin to leave; a second call changes nothing."""
+        """Start draining; a second call has no effect."""
         if self._draining_since is None:
             self._draining_since = self._clock.now()
             self._notice_s = self._limits.notice_s if notice_s is None else notice_s
 
     def refusal(self) -> Fault | None:
-        """Return why a new request is refused; None where it is taken."""
+        """Return why a new request is refused, or None if it is accepted."""
         if self._refuses_new():
             return fault(
-                ResultCode.DRAINING, "this host is leaving", DRAINING_RETRY_AFTER_S
+                ResultCode.DRAINING, "this host is draining", DRAINING_RETRY_AFTER_S
             )
         if self.in_flight >= self._limits.max_in_flight:
-            detail = "this host has as many requests in flight as it may"
+            detail = "this host has its maximum number of requests in flight"
             return fault(ResultCode.TOO_MANY_CONNECTIONS, detail, FULL_RETRY_AFTER_S)
         return None
 
@@ -98,15 +98,15 @@
     async def wait_idle(self) -> None:
         """Wait until new requests are refused and none is in flight."""
         while not self._refuses_new():
-            await trio.sleep(self._notice_left())
+            await trio.sleep(self._notice_remaining_s())
         while self.in_flight:
             self._idle = trio.Event()
             await self._idle.wait()
 
     def _refuses_new(self) -> bool:
-        return self.is_draining and self._notice_left() <= 0
+        return self.is_draining and self._notice_remaining_s() <= 0
 
-    def _notice_left(self) -> float:
+    def _notice_remaining_s(self) -> float:
         if self._draining_since is None:
             return self._notice_s
         return self._draining_since + self._notice_s - self._clock.now()
--- a/radishfield/edges/_caller_messages.py
+++ b/radishfield/edges/_caller_messages.py
@@ -1,4 +1,4 @@
-"""The messages that a model's answer is made of, as clients read them."""
+"""Defines the messages of a model's answer in the format that clients read."""
 
 from dataclasses import dataclass
 from typing import Literal
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Usage:
-    """Tokens of a request, the prompt's being an estimate."""
+    """Token counts of a request; the number of prompt tokens is an estimate."""
 
     prompt_tokens: int
     completion_tokens: int
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Ending:
-    """How a streamed request ended, in its last event."""
+    """The outcome of a streamed request, sent in the event with its last choice."""
 
     outcome: Outcome
     code: int
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ChatAnswerMessage:
-    """The whole text of an answer."""
+    """The complete text of an answer."""
 
     content: str
     role: Literal["assistant"] = "assistant"
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ChatChoice:
-    """The one choice of a whole chat answer."""
+    """The only choice of a complete chat answer."""
 
     message: ChatAnswerMessage
     finish_reason: str
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CompletionChoice:
-    """The one choice of a whole completion, or of its last event."""
+    """The only choice of a complete completion or of the last event of its stream."""
 
     text: str
     finish_reason: str
@@ -67,7 +67,7 @@
 
 
 class ModelAnswer(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A whole answer, or one event of a stream."""
+    """A complete answer, or one event of a stream."""
 
     id: str
     object: str
--- a/radishfield/edges/_caller_requests.py
+++ b/radishfield/edges/_caller_requests.py
@@ -1,4 +1,4 @@
-"""Builds requests from what callers sent and what their profile says."""
+"""Builds requests from the callers' input and their profiles."""
 
 from dataclasses import dataclass
 
@@ -20,8 +20,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ModelWork:
-    """A model request, and the form in which its answer is to leave."""
+class PreparedModelCall:
+    """A request for the dispatcher and the parsed call that it was built from."""
 
     call: ModelCall
     request: Request
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ModelEntry:
-    """A profile as the list of models shows it."""
+    """A profile as an entry of the list of models."""
 
     id: str
     object: str = "model"
@@ -48,7 +48,7 @@
 def model_request(
     headers: CallerHeaders, call: ModelCall, profile: Profile, arrived: float
 ) -> Request:
-    """Return the request that is handed to the dispatcher."""
+    """Return the model request for the dispatcher."""
     return Request(
         id=headers.request_id,
         workspace=headers.workspace,
@@ -56,7 +56,7 @@
         prompt=call.prompt,
         max_tokens=call.max_tokens,
         arrived=arrived,
-        deadline=arrived + _time_allowed(headers, profile),
+        deadline=arrived + _time_limit_s(headers, profile),
         priority=_priority(headers, profile),
         idempotency_key=headers.idempotency_key,
         body_digest=call.digest,
@@ -73,7 +73,7 @@
     body: bytes,
     arrived: float,
 ) -> ServiceRequest:
-    """Return the plain call that is handed to the dispatcher."""
+    """Return the service request for the dispatcher."""
     return ServiceRequest(
         id=headers.request_id,
         workspace=headers.workspace,
@@ -82,7 +82,7 @@
         path=path,
         body=body,
         arrived=arrived,
-        deadline=arrived + _time_allowed(headers, profile),
+        deadline=arrived + _time_limit_s(headers, profile),
         headers=headers_to_service(scope["headers"]),
         priority=_priority(headers, profile),
         idempotency_key=headers.idempotency_key,
@@ -90,25 +90,25 @@
     )
 
 
-def of_kind(profile: Profile, kind: TargetKind) -> Result[Profile, Fault]:
-    """Return the profile if it is of the kind that the route serves."""
+def check_kind(profile: Profile, kind: TargetKind) -> Result[Profile, Fault]:
+    """Return the profile if it has the kind that the route serves."""
     if profile.kind is kind:
         return Ok(profile)
     detail = f"profile {profile.name} is of kind {profile.kind}"
     return Error(fault(ResultCode.WRONG_TARGET_KIND, detail))
 
 
-def _time_allowed(headers: CallerHeaders, profile: Profile) -> float:
-    """Return seconds until too late: a caller may shorten the profile's limit."""
+def _time_limit_s(headers: CallerHeaders, profile: Profile) -> float:
+    """Return the time limit in seconds: a caller may only shorten the profile's."""
     if headers.deadline_s is None:
         return profile.deadline_s
     return min(headers.deadline_s, profile.deadline_s)
 
 
 def _priority(headers: CallerHeaders, profile: Profile) -> Priority:
-    """Return the priority: a caller may lower the profile's, never raise it.
+    """Return the priority: a caller may only lower the profile's.
 
-    Could a caller raise it, all would, and none would go first.
+    If callers could raise it, all of them would, and priorities would have no effect.
     """
     if headers.priority is None:
         return profile.priority
--- a/radishfield/edges/_operator.py
+++ b/radishfield/edges/_operator.py
@@ -1,7 +1,7 @@
-"""The operators' edge: profiles, draining, status and explanations, as JSON.
+"""Serves profiles, draining, status and explanations to operators as JSON.
 
-It has a listener of its own, so that callers can never reach it, and it asks
-every request for the token from the settings.
+It has a separate listener, so that callers can never reach it.  Every request but
+the health check must carry the token from the settings.
 """
 
 import hashlib
@@ -36,18 +36,18 @@
 BODY_LIMIT = BodyLimit(max_bytes=64 << 10, timeout_s=5.0)
 METRICS_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
 SEGMENT = r"([A-Za-z0-9][A-Za-z0-9._:-]{0,63})"
-KINDS = "(target|host|zone)"
+DRAIN_KINDS = "(target|host|zone)"
 
 
 @dataclass(slots=True, frozen=True)
 class OperatorRequest:
-    """One request, its path's variable parts and its body."""
+    """The variable segments of a request's path, and its body."""
 
-    parts: tuple[str, ...]
+    path_values: tuple[str, ...]
     body: bytes
 
     def decode(self, kind: type[T]) -> Result[T, Fault]:
-        """Return the body as a message of the type, or what is wrong with it."""
+        """Return the body decoded as the type, or a fault that says what is wrong."""
         try:
             return Ok(msgspec.json.decode(self.body or b"{}", type=kind))
         except (msgspec.MsgspecError, ValueError, RecursionError) as error:
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OperatorRoute:
-    """A method and path, and what answers them."""
+    """A method and path pattern with their handler."""
 
     method: str
     path: re.Pattern
@@ -67,7 +67,7 @@
 
 
 class OperatorApp:
-    """The ASGI application that operators speak to."""
+    """The ASGI application that serves operators."""
 
     __slots__ = (
         "_operations",
@@ -110,7 +110,7 @@
         if scope["path"] == "/healthz":
             await send_bytes(send, 200, b"ok\n", b"text/plain")
         elif not self._is_authorized(scope["headers"]):
-            problem = fault(ResultCode.UNAUTHORIZED, "the operators' token is needed")
+            problem = fault(ResultCode.UNAUTHORIZED, "the operators' token is required")
             log_event("operator.unauthorized", 30, path=scope["path"])
             await answer.refuse(problem, [(b"www-authenticate", b"Bearer")])
         elif scope["path"] == "/metrics":
@@ -123,10 +123,10 @@
         if len(sent) != 1:
             return False
         scheme, _, token = sent[0].partition(b" ")
-        # Digests have one length, so that the time taken tells nothing of the
-        # token, not even its length.
-        is_right = hmac.compare_digest(_digest(token.strip()), self._token_digest)
-        return scheme.lower() == b"bearer" and is_right
+        # All digests have the same length, so that the time of the comparison
+        # reveals nothing about the token, not even its length.
+        is_match = hmac.compare_digest(_digest(token.strip()), self._token_digest)
+        return scheme.lower() == b"bearer" and is_match
 
     async def _serve_route(self, scope, receive, answer: Answer) -> None:
         match self._find_route(scope["method"], scope["path"]):
@@ -135,13 +135,13 @@
                 return
             case Result(tag="ok", ok=route):
                 pass
-        parts = route.path.fullmatch(scope["path"]).groups()
+        path_values = route.path.fullmatch(scope["path"]).groups()
         match await read_body(receive, BODY_LIMIT):
             case Result(tag="error", error=problem):
                 await answer.refuse(problem)
                 return
             case Result(tag="ok", ok=body):
-                result = await route.handler(OperatorRequest(parts, body))
+                result = await route.handler(OperatorRequest(path_values, body))
         match result:
             case Result(tag="error", error=problem):
                 await answer.refuse(problem)
@@ -157,12 +157,12 @@
             )
 
     def _find_route(self, method: str, path: str) -> Result[OperatorRoute, Fault]:
-        fitting = [route for route in self._routes if route.path.fullmatch(path)]
-        for route in fitting:
+        matching = [route for route in self._routes if route.path.fullmatch(path)]
+        for route in matching:
             if route.method == method:
                 return Ok(route)
-        if fitting:
-            allowed = ", ".join(route.method for route in fitting)
+        if matching:
+            allowed = ", ".join(route.method for route in matching)
             return Error(fault(ResultCode.METHOD_NOT_ALLOWED, f"allowed: {allowed}"))
         return Error(fault(ResultCode.UNKNOWN_ROUTE, path[:100]))
 
@@ -173,8 +173,8 @@
             ("GET", f"/v1/profiles/{SEGMENT}", self._show_profile),
             ("PUT", f"/v1/profiles/{SEGMENT}", self._change),
             ("DELETE", f"/v1/profiles/{SEGMENT}", self._retire),
-            ("PUT", f"/v1/drains/{KINDS}/{SEGMENT}", self._drain),
-            ("DELETE", f"/v1/drains/{KINDS}/{SEGMENT}", self._undrain),
+            ("PUT", f"/v1/drains/{DRAIN_KINDS}/{SEGMENT}", self._drain),
+            ("DELETE", f"/v1/drains/{DRAIN_KINDS}/{SEGMENT}", self._undrain),
             ("GET", "/v1/targets", self._list_targets),
             ("POST", "/v1/targets", self._add_target),
             ("POST", "/v1/hosts", self._add_host),
@@ -191,26 +191,26 @@
         return Ok(ProfileList(tuple(map(ProfileView.from_profile, profiles))))
 
     async def _show_profile(self, request: OperatorRequest):
-        shown = self._operations.show_profile(request.parts[0])
-        return await self._with_zones(shown)
+        shown = self._operations.show_profile(request.path_values[0])
+        return await self._add_zones(shown)
 
     async def _publish(self, request: OperatorRequest):
         match request.decode(ProfileBody):
             case Result(tag="ok", ok=body):
                 published = await self._operations.publish_profile(body.profile())
-                return await self._with_zones(published)
+                return await self._add_zones(published)
             case refused:
                 return refused
 
     async def _change(self, request: OperatorRequest):
         match request.decode(ProfileBody):
-            case Result(tag="ok", ok=body) if body.name == request.parts[0]:
+            case Result(tag="ok", ok=body) if body.name == request.path_values[0]:
                 changed = await self._operations.change_profile(
                     body.profile(), body.expected_version
                 )
-                return await self._with_zones(changed)
+                return await self._add_zones(changed)
             case Result(tag="ok"):
-                detail = "the name in the path and the one in the body differ"
+                detail = "the names in the path and in the body differ"
                 return Error(fault(ResultCode.CHANGE_INVALID, detail))
             case refused:
                 return refused
@@ -219,14 +219,14 @@
         match request.decode(RetireBody):
             case Result(tag="ok", ok=body):
                 retired = await self._operations.retire_profile(
-                    request.parts[0], body.expected_version
+                    request.path_values[0], body.expected_version
                 )
-                return await self._with_zones(retired)
+                return await self._add_zones(retired)
             case refused:
                 return refused
 
-    async def _with_zones(self, result: Result[Profile, Fault]):
-        """Add where which version is in force, as far as zones can be asked."""
+    async def _add_zones(self, result: Result[Profile, Fault]):
+        """Add the versions active in each zone, as far as zones can be queried."""
         if result.is_error():
             return result
         profile = result.ok
@@ -241,11 +241,11 @@
         return Ok(ProfileView.from_profile(profile, zones))
 
     async def _drain(self, request: OperatorRequest):
-        kind, id = request.parts
+        kind, id = request.path_values
         return await self._operations.drain(DrainKind(kind), id)
 
     async def _undrain(self, request: OperatorRequest):
-        kind, id = request.parts
+        kind, id = request.path_values
         return await self._operations.undrain(DrainKind(kind), id)
 
     async def _list_targets(self, request: OperatorRequest):
@@ -270,15 +270,15 @@
         return await self._operations.status()
 
     async def _explain(self, request: OperatorRequest):
-        record = self._records.find(request.parts[0])
+        record = self._records.find(request.path_values[0])
         if record is None:
-            detail = f"{self._host} has no record of {request.parts[0]}"
+            detail = f"{self._host} has no record of {request.path_values[0]}"
             return Error(fault(ResultCode.OBJECT_NOT_FOUND, detail))
         return Ok(Explanation(self._host, record))
 
 
 class MetricsApp:
-    """The metrics alone, for a listener of their own that asks for no token."""
+    """The ASGI application of a separate listener for metrics; it needs no token."""
 
     __slots__ = ("_telemetry",)
 
--- a/radishfield/edges/_operator_messages.py
+++ b/radishfield/edges/_operator_messages.py
@@ -1,4 +1,4 @@
-"""What operators send and get, as JSON; shared with the command line."""
+"""Defines the JSON messages that operators and the command line send and receive."""
 
 from typing import Annotated, Literal
 
@@ -16,7 +16,7 @@
 from radishfield.fleet import ProfileInZone
 from radishfield.telemetry import RequestRecord
 
-PriorityWord = Literal["urgent", "high", "normal", "low"]
+PriorityName = Literal["urgent", "high", "normal", "low"]
 Name = Annotated[
     str, Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}\Z", description="a name")
 ]
@@ -28,20 +28,20 @@
 
 
 class Message(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Anything that an operator sends; an unknown field is refused."""
+    """Base of all messages that operators send; unknown fields are refused."""
 
 
 class ProfileBody(Message):
-    """A profile to publish or to change to.
+    """A profile to publish, or the new values of a published one.
 
-    ``expected_version`` is the version that the operator saw; a change of
-    anything newer is a conflict.
+    ``expected_version`` is the version that the operator saw.  If the current
+    version is newer, the change is a conflict.
     """
 
     name: Name
     model: Name
     kind: TargetKind = TargetKind.ENGINE
-    priority: PriorityWord = "normal"
+    priority: PriorityName = "normal"
     deadline_s: Annotated[float, Meta(ge=0.01, le=86_400)] = 30.0
     idempotent: bool = True
     expected_version: int | None = None
@@ -59,7 +59,7 @@
 
 
 class RetireBody(Message):
-    """Which version of a profile the operator means to retire."""
+    """The version of a profile that the operator means to retire."""
 
     expected_version: int | None = None
 
@@ -100,7 +100,7 @@
 
 
 class HostBody(Message):
-    """A host to add; an entry host's peer address serves others as a seed."""
+    """A host to add; other hosts use an entry host's peer address as a seed."""
 
     id: Name
     zone: Name
@@ -112,9 +112,10 @@
 
 
 class ProfileView(msgspec.Struct, frozen=True):
-    """A profile as it is in force at the host that answers.
+    """A profile as it is active at the host that answers.
 
-    ``zones`` says where which version is in force; empty where not asked.
+    ``zones`` holds the active versions in each zone; it is empty where they were
+    not queried.
     """
 
     name: str
@@ -146,7 +147,7 @@
 
 
 class ProfileList(msgspec.Struct, frozen=True):
-    """All profiles that the host knows, retired ones too."""
+    """All profiles that the host has, including retired ones."""
 
     profiles: tuple[ProfileView, ...]
 
@@ -158,7 +159,7 @@
 
 
 class Explanation(msgspec.Struct, frozen=True):
-    """What one host decided about a request."""
+    """The decisions of one host about a request."""
 
     host: str
     record: RequestRecord
--- a/radishfield/edges/_status.py
+++ b/radishfield/edges/_status.py
@@ -1,11 +1,11 @@
-"""How a result code is told over HTTP: status, headers and the error's body."""
+"""Maps result codes to HTTP status codes, headers and error bodies."""
 
 import math
 from dataclasses import dataclass
 
 from radishfield.core import Fault, Outcome, ResultCode
 
-# 499 is the usual status, in logs, for a caller that closed the connection.
+# 499 is the status that logs commonly show for a caller that closed the connection.
 CALLER_CLOSED = 499
 
 STATUS_BY_CODE = {
@@ -46,15 +46,15 @@
 
 
 def http_status(code: ResultCode) -> int:
-    """Return the HTTP status that a result code is answered with."""
+    """Return the HTTP status of an answer with this result code."""
     return STATUS_BY_CODE.get(code, STATUS_BY_THOUSAND[code // 1000])
 
 
 @dataclass(slots=True, frozen=True)
 class ErrorDetail:
-    """An error in the shape that clients of this interface read.
+    """An error in the format that clients of this interface read.
 
-    ``code`` is the number, ``name`` its name in docs/RESULT-CODES.md.
+    ``code`` is the result code's number, ``name`` its name in docs/RESULT-CODES.md.
     """
 
     message: str
@@ -69,19 +69,19 @@
 
 @dataclass(slots=True, frozen=True)
 class ErrorBody:
-    """The whole body of an error's answer, or of an error event in a stream."""
+    """The complete body of an error answer, or of an error event in a stream."""
 
     error: ErrorDetail
 
 
 def error_body(problem: Fault, request_id: str) -> ErrorBody:
-    """Return the body that tells a caller of a fault."""
-    kind = ERROR_TYPE_BY_THOUSAND.get(problem.code // 1000, "system_error")
+    """Return the body that describes a fault to the caller."""
+    error_type = ERROR_TYPE_BY_THOUSAND.get(problem.code // 1000, "system_error")
     name = problem.code.name
     return ErrorBody(
         ErrorDetail(
             message=f"{name}: {problem.detail}" if problem.detail else name,
-            type=kind,
+            type=error_type,
             code=int(problem.code),
             name=name,
             outcome=problem.outcome,
@@ -92,7 +92,7 @@
 
 
 def outcome_headers(outcome: Outcome, code: ResultCode) -> list[tuple[bytes, bytes]]:
-    """Return the headers that tell how a request ended."""
+    """Return the headers with the outcome and result code of a request."""
     return [
         (b"x-outcome", outcome.encode()),
         (b"x-result-code", str(int(code)).encode()),
@@ -100,17 +100,17 @@
 
 
 def fault_headers(problem: Fault) -> list[tuple[bytes, bytes]]:
-    """Return the headers of a fault: outcome, code, and when to come back.
+    """Return the headers of a fault: outcome, code, and when to retry.
 
     ``x-should-retry`` is read by the public client, which would otherwise
-    repeat any 5xx by itself.  A request whose outcome is unknown may have run:
-    repeated without a word, a review would be drafted twice.
+    retry any 5xx by itself.  A request whose outcome is unknown may have run, and
+    an automatic retry would then draft a review twice.
     """
     headers = outcome_headers(problem.outcome, problem.code)
     if problem.retry_after_s is None:
         return [*headers, (b"x-should-retry", b"false")]
-    # Never zero: a client that comes back at once adds to what it was
-    # refused for.
+    # Never zero: a client that retries at once adds to the load that caused the
+    # refusal.
     milliseconds = max(1, math.ceil(problem.retry_after_s * 1000))
     return [
         *headers,
--- a/radishfield/edges/caller_test.py
+++ b/radishfield/edges/caller_test.py
@@ -1,4 +1,4 @@
-"""Tests of the caller edge as an application, against a scripted `Serving`."""
+"""Tests the callers' ASGI application with a scripted `Serving`."""
 
 import json
 from collections.abc import Callable
@@ -46,7 +46,7 @@
 
 
 class ScriptedServing:
-    """Pushes tokens, then ends as told; keeps the requests it was given."""
+    """Pushes tokens, then returns the given ending; records the requests."""
 
     def __init__(self, texts=("a", " b"), ending=None, pause_s=0.0):
         self.texts = texts
@@ -74,7 +74,7 @@
 
 
 @dataclass
-class Exchanged:
+class Response:
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
@@ -95,9 +95,9 @@
     body: object = b"",
     method: str = "POST",
     headers: dict[str, str] | None = None,
-    leave: Callable[[Exchanged], bool] | None = None,
-) -> Exchanged:
-    """Send one request; ``leave`` tells when the caller disconnects."""
+    disconnect_when: Callable[[Response], bool] | None = None,
+) -> Response:
+    """Send one request; the caller disconnects once ``disconnect_when`` is true."""
     body = body if isinstance(body, bytes) else json.dumps(body).encode()
     raw_path, _, query = path.encode().partition(b"?")
     scope = {
@@ -109,14 +109,14 @@
         "query_string": query,
         "headers": [(k.encode(), v.encode()) for k, v in (headers or {}).items()],
     }
-    got = Exchanged()
-    left = trio.Event()
+    got = Response()
+    disconnected = trio.Event()
     messages = [{"type": "http.request", "body": body, "more_body": False}]
 
     async def receive():
         if messages:
             return messages.pop()
-        await left.wait()
+        await disconnected.wait()
         return {"type": "http.disconnect"}
 
     async def send(message):
@@ -127,15 +127,15 @@
         else:
             got.body += message["body"]
             got.is_whole = not message["more_body"]
-        if leave is not None and leave(got):
-            left.set()
+        if disconnect_when is not None and disconnect_when(got):
+            disconnected.set()
         await trio.lowlevel.checkpoint()
 
     await app(scope, receive, send)
     return got
 
 
-def ask(serving, path=CHAT, body=HELLO, app=None, **options) -> Exchanged:
+def ask(serving, path=CHAT, body=HELLO, app=None, **options) -> Response:
     app = app or CallerApp(serving, Profiles(), TrioClock())
 
     async def main():
@@ -148,7 +148,7 @@
     return [line[6:] for line in got.body.decode().split("\n\n") if line]
 
 
-def test_whole_chat_answer_carries_ids_outcome_and_usage():
+def test_complete_chat_answer_has_ids_outcome_and_usage():
     got = ask(ScriptedServing(), headers={"x-request-id": "mine"})
     assert got.json["choices"][0]["message"]["content"] == "a b"
     assert got.json["choices"][0]["finish_reason"] == "length"
@@ -158,7 +158,7 @@
     assert got.headers["x-result-code"] == "1000"
 
 
-def test_two_callers_with_one_id_are_two_requests_inside():
+def test_same_caller_id_gets_distinct_request_ids():
     serving = ScriptedServing()
     for _ in range(2):
         ask(serving, headers={"x-request-id": "same"})
@@ -178,23 +178,24 @@
     assert got.is_whole
 
 
-def test_tokens_that_are_ready_together_leave_as_one_event():
-    class Together(ScriptedServing):
+def test_tokens_buffered_together_are_sent_as_one_event():
+    class BurstServing(ScriptedServing):
         async def generate(self, request, sink):
             receipt = Receipt(request.id, 1, 0, ())
             for position, text in enumerate(("0", " 1", " 2")):
                 await sink.push(Token(position, text, receipt))
             return self.ending
 
-    first, _, _ = events(ask(Together(), body=HELLO | {"stream": True}))
+    first, _, _ = events(ask(BurstServing(), body=HELLO | {"stream": True}))
     assert json.loads(first)["choices"][0]["delta"]["content"] == "0 1 2"
 
 
-def test_stream_that_fails_never_looks_finished():
-    """The caller sees an error event, and the connection is cut.
+def test_failed_stream_is_not_marked_finished():
+    """The caller receives an error event, and the connection is aborted.
 
-    Two tokens have left when the request fails.  Neither a finish reason, nor
-    [DONE], nor the closing chunk is sent, so a client cannot take it for whole.
+    The request fails after two tokens are sent.  Neither a finish reason, nor
+    [DONE], nor the closing chunk is sent, so a client cannot take the answer for
+    complete.
     """
     broken = Error(fault(ResultCode.STREAM_BROKEN, "stage died"))
     got = ask(ScriptedServing(ending=broken, pause_s=0.1), body=HELLO | {"stream": 1})
@@ -208,7 +209,7 @@
     assert not got.is_whole
 
 
-def test_refusal_before_the_first_token_is_a_plain_answer_with_when_to_come_back():
+def test_refusal_before_first_token_is_not_streamed_and_sets_retry_after():
     refused = Error(fault(ResultCode.QUEUE_FULL, "full", retry_after_s=1.2004))
     got = ask(ScriptedServing((), refused), body=HELLO | {"stream": True})
     assert (got.status, got.code) == (503, ResultCode.QUEUE_FULL)
@@ -218,28 +219,32 @@
     assert got.headers["x-should-retry"] == "true"
 
 
-def test_public_client_is_told_not_to_repeat_an_unknown_outcome():
+def test_unknown_outcome_sets_should_retry_to_false():
     got = ask(ScriptedServing((), Error(fault(ResultCode.STREAM_BROKEN))))
     assert (got.status, got.headers["x-should-retry"]) == (502, "false")
 
 
-def test_defect_is_a_numbered_answer_without_traceback():
-    class Broken(ScriptedServing):
+def test_defect_returns_result_code_without_traceback():
+    class FailingServing(ScriptedServing):
         async def generate(self, request, sink):
             raise ZeroDivisionError("secret place")
 
-    got = ask(Broken())
+    got = ask(FailingServing())
     assert (got.status, got.code) == (500, ResultCode.INTERNAL)
     assert b"secret place" not in got.body
 
 
-def test_caller_that_leaves_cancels_its_work():
+def test_caller_disconnect_cancels_its_request():
     serving = ScriptedServing(["word"] * 100, pause_s=1.0)
-    ask(serving, body=HELLO | {"stream": True}, leave=lambda got: b"word" in got.body)
+    ask(
+        serving,
+        body=HELLO | {"stream": True},
+        disconnect_when=lambda got: b"word" in got.body,
+    )
     assert serving.cancelled == 1
 
 
-def test_dispatcher_that_hangs_is_cut_after_the_deadline():
+def test_hanging_dispatcher_is_cancelled_after_deadline():
     serving = ScriptedServing(["word"] * 100, pause_s=1.0)
     got = ask(serving, headers={"x-deadline-ms": "2500"})
     assert (got.status, got.code) == (504, ResultCode.DEADLINE_PASSED)
@@ -255,15 +260,15 @@
     assert (first.workspace, first.idempotency_key) == ("ripe:1", "k-1")
     assert first.deadline - first.arrived == 1.5
     assert first.priority is Priority.LOW
-    # A caller may ask for less than the profile gives, never for more.
+    # A caller may lower the profile's limits but not raise them.
     assert second.deadline - second.arrived == 30.0
     assert second.priority is Priority.NORMAL
 
 
-def test_digest_is_of_what_decides_the_answer():
+def test_digest_covers_fields_that_determine_the_answer():
     serving = ScriptedServing()
-    turned = dict(reversed(HELLO.items())) | {"stream": True, "user": "x"}
-    for body in (HELLO, turned, HELLO | {"max_tokens": 3}):
+    reordered = dict(reversed(HELLO.items())) | {"stream": True, "user": "x"}
+    for body in (HELLO, reordered, HELLO | {"max_tokens": 3}):
         ask(serving, body=body)
     first, second, third = (request.body_digest for request in serving.requests)
     assert first == second != third
@@ -294,7 +299,7 @@
         ("/v1/services/review/x", b"", {}, 400, ResultCode.WRONG_TARGET_KIND),
     ],
 )
-def test_bad_input_is_a_numbered_refusal(path, body, headers, status, code):
+def test_bad_input_is_refused_with_result_code(path, body, headers, status, code):
     serving = ScriptedServing()
     limits = CallerLimits(BodyLimit(max_bytes=1500 if body == b" " * 2000 else 1 << 20))
     app = CallerApp(serving, Profiles(), TrioClock(), limits)
@@ -323,7 +328,7 @@
     assert sent[0]["status"] == 408
 
 
-def test_service_call_passes_path_and_safe_headers_only():
+def test_service_call_forwards_path_and_only_safe_headers():
     serving = ScriptedServing()
     serving.answer = Ok(
         ServiceAnswer(
@@ -348,10 +353,10 @@
 
 
 def test_draining_host_fails_readiness_at_once_and_refuses_after_the_notice():
-    """Callers see no failure while the balancer still sends requests here.
+    """Callers see no failure while the balancer still sends requests to this host.
 
-    Readiness fails at once, new requests are taken for the notice time and then
-    refused with when to come back; a stream in flight goes on to its end.
+    Readiness fails at once.  New requests are accepted during the notice time and
+    then refused with a retry time.  A stream in flight continues to its end.
     """
     serving = ScriptedServing(["word"] * 10, pause_s=1.0)
     limits = CallerLimits(notice_s=3.0)
@@ -376,7 +381,7 @@
             return trio.current_time()
 
     clock = trio.testing.MockClock(autojump_threshold=0)
-    # The request of the second 2 is the last to end.
+    # The request sent at 2 s is the last to end.
     assert trio.run(main, clock=clock) == pytest.approx(12, abs=0.1)
     assert [got[name].status for name in ("ready", "live")] == [503, 200]
     assert got["early"].is_whole and b"[DONE]" in got["early"].body
@@ -385,19 +390,19 @@
     assert got["late"].headers["retry-after"] == "1"
 
 
-def test_host_that_knows_no_profiles_yet_is_alive_and_not_ready():
-    class Blind(Profiles):
+def test_host_without_profiles_is_live_but_not_ready():
+    class UnloadedProfiles(Profiles):
         def find(self, name):
             return Error(fault(ResultCode.PROFILES_UNKNOWN, retry_after_s=1.0))
 
-    app = CallerApp(ScriptedServing(), Blind(), TrioClock())
+    app = CallerApp(ScriptedServing(), UnloadedProfiles(), TrioClock())
     assert ask(None, "/readyz", b"", app, method="GET").status == 503
     assert ask(None, "/healthz", b"", app, method="GET").status == 200
     app = CallerApp(ScriptedServing(), Profiles(), TrioClock())
     assert ask(None, "/readyz", b"", app, method="GET").status == 200
 
 
-def test_more_requests_than_the_host_takes_are_refused():
+def test_requests_over_max_in_flight_are_refused():
     serving = ScriptedServing(["word"], pause_s=1.0)
     limits = CallerLimits(max_in_flight=1)
     app = CallerApp(serving, Profiles(), TrioClock(), limits)
--- a/radishfield/edges/caller_wire_test.py
+++ b/radishfield/edges/caller_wire_test.py
@@ -1,7 +1,7 @@
-"""Tests of the caller edge over real connections, with the public client.
+"""Tests the callers' application over real connections with the public client.
 
-The edge runs in a thread with a scripted `Serving`; the path through whole
-processes is played in standins/openai_client_test.py.
+The application runs in a thread with a scripted `Serving`.  The path through
+separate processes is tested in standins/openai_client_test.py.
 """
 
 import socket
@@ -26,19 +26,19 @@
     """Serve an application in a thread; yield its address, then stop gracefully."""
     config = ListenerConfig.from_settings("127.0.0.1:0", tls_cert, tls_key, drain_s=5.0)
     ready = threading.Event()
-    found = []
+    handles = []
 
     async def main():
         stop = trio.Event()
-        found.extend([trio.lowlevel.current_trio_token(), stop])
+        handles.extend([trio.lowlevel.current_trio_token(), stop])
         async with trio.open_nursery() as nursery:
-            found.extend(await nursery.start(serve_app, app, config, stop))
+            handles.extend(await nursery.start(serve_app, app, config, stop))
             ready.set()
 
     thread = threading.Thread(target=trio.run, args=(main,))
     thread.start()
     assert ready.wait(10)
-    token, stop, address = found
+    token, stop, address = handles
     try:
         yield address
     finally:
@@ -47,23 +47,23 @@
         assert not thread.is_alive()
 
 
-def edge_over(serving):
-    """Serve the callers' edge over a scripted `Serving`."""
+def serve_caller_edge(serving):
+    """Serve the callers' application over a scripted `Serving`."""
     return served(CallerApp(serving, Profiles(), SystemClock(), CallerLimits()))
 
 
-def client_of(address):
+def make_client(address):
     return openai.OpenAI(
         base_url=f"{address}/v1", api_key="not-checked", max_retries=0, timeout=10
     )
 
 
-def test_public_client_reads_whole_streamed_and_listed_answers():
-    with edge_over(ScriptedServing(["one", " two", " three"])) as address:
-        client = client_of(address)
-        whole = client.chat.completions.create(model="review", messages=MESSAGES)
-        assert whole.choices[0].message.content == "one two three"
-        assert whole.usage.completion_tokens == 3
+def test_public_client_reads_complete_and_streamed_answers_and_model_list():
+    with serve_caller_edge(ScriptedServing(["one", " two", " three"])) as address:
+        client = make_client(address)
+        completion = client.chat.completions.create(model="review", messages=MESSAGES)
+        assert completion.choices[0].message.content == "one two three"
+        assert completion.usage.completion_tokens == 3
         stream = client.chat.completions.create(
             model="review",
             messages=MESSAGES,
@@ -81,11 +81,11 @@
         client.close()
 
 
-def test_public_client_sees_a_broken_stream_as_an_error():
-    """The caller's client raises; it never returns a part as if it were whole."""
+def test_public_client_raises_error_for_broken_stream():
+    """The client raises an error; it never returns a truncated answer as complete."""
     broken = Error(fault(ResultCode.STREAM_BROKEN, "stage died"))
-    with edge_over(ScriptedServing(["one"], broken, pause_s=0.05)) as address:
-        client = client_of(address)
+    with serve_caller_edge(ScriptedServing(["one"], broken, pause_s=0.05)) as address:
+        client = make_client(address)
         stream = client.chat.completions.create(
             model="review", messages=MESSAGES, stream=True
         )
@@ -97,7 +97,7 @@
 
 def test_connection_of_a_broken_stream_is_closed_without_the_last_chunk():
     broken = Error(fault(ResultCode.STREAM_BROKEN, "stage died"))
-    with edge_over(ScriptedServing(["one"], broken, pause_s=0.05)) as address:
+    with serve_caller_edge(ScriptedServing(["one"], broken, pause_s=0.05)) as address:
         with httpcore.ConnectionPool() as pool:
             content = b'{"model":"review","stream":true,"messages":'
             content += b'[{"role":"user","content":"hello"}]}'
@@ -105,7 +105,7 @@
                 pool.request("POST", address + CHAT, content=content)
 
 
-def test_public_client_comes_back_when_it_was_told_to():
+def test_public_client_retries_when_answer_allows_it():
     class FullOnce(ScriptedServing):
         async def generate(self, request, sink):
             if not self.requests:
@@ -114,19 +114,19 @@
             return await super().generate(request, sink)
 
     serving = FullOnce(["one"])
-    with edge_over(serving) as address:
-        client = client_of(address).with_options(max_retries=1)
-        whole = client.chat.completions.create(model="review", messages=MESSAGES)
-        assert whole.choices[0].message.content == "one"
+    with serve_caller_edge(serving) as address:
+        client = make_client(address).with_options(max_retries=1)
+        completion = client.chat.completions.create(model="review", messages=MESSAGES)
+        assert completion.choices[0].message.content == "one"
         client.close()
     assert len(serving.requests) == 2
 
 
-def test_caller_that_closes_its_connection_frees_its_work():
-    """The caller closes in the middle of a stream; its work is cancelled."""
+def test_closed_caller_connection_cancels_request():
+    """A caller closes its connection during a stream; its request is cancelled."""
     serving = ScriptedServing(["word"] * 10_000, Ok(Finished("length")), pause_s=0.01)
-    with edge_over(serving) as address:
-        client = client_of(address)
+    with serve_caller_edge(serving) as address:
+        client = make_client(address)
         stream = client.chat.completions.create(
             model="review", messages=MESSAGES, stream=True
         )
@@ -136,15 +136,15 @@
         assert wait_until(lambda: serving.cancelled == 1)
 
 
-def test_oversized_body_gets_its_answer_and_no_broken_connection():
-    with edge_over(ScriptedServing()) as address:
+def test_oversized_body_is_answered_without_connection_error():
+    with serve_caller_edge(ScriptedServing()) as address:
         with httpcore.ConnectionPool() as pool:
             answer = pool.request("POST", address + CHAT, content=b" " * (3 << 20))
     assert answer.status == 413
 
 
-def test_garbage_on_the_wire_gets_an_http_error_and_the_host_goes_on():
-    with edge_over(ScriptedServing(["one"])) as address:
+def test_invalid_http_gets_error_and_host_keeps_serving():
+    with serve_caller_edge(ScriptedServing(["one"])) as address:
         host, _, port = address.removeprefix("http://").rpartition(":")
         for garbage in (
             b"\x00" * 64,
@@ -155,36 +155,36 @@
                 raw.sendall(garbage)
                 raw.shutdown(socket.SHUT_WR)
                 assert raw.recv(1000)[:12] in (b"", b"HTTP/1.1 400")
-        client = client_of(address)
-        whole = client.chat.completions.create(**HELLO)
-        assert whole.choices[0].message.content == "one"
+        client = make_client(address)
+        completion = client.chat.completions.create(**HELLO)
+        assert completion.choices[0].message.content == "one"
         client.close()
 
 
 def test_tokens_reach_the_caller_without_waiting_for_the_end():
-    class TwoParts(ScriptedServing):
+    class PausingServing(ScriptedServing):
         async def generate(self, request, sink):
             await sink.push(Token(0, "one", Receipt(request.id, 1, 0, ())))
             await trio.sleep(0.5)
             return self.ending
 
-    with edge_over(TwoParts()) as address:
-        client = client_of(address)
+    with serve_caller_edge(PausingServing()) as address:
+        client = make_client(address)
         stream = client.chat.completions.create(
             model="review", messages=MESSAGES, stream=True
         )
-        began = SystemClock().now()
+        started = SystemClock().now()
         next(iter(stream))
-        assert SystemClock().now() - began < 0.4
+        assert SystemClock().now() - started < 0.4
         client.close()
 
 
-def test_caller_that_stops_reading_cannot_hold_its_place(monkeypatch):
-    """The host gives up on the connection; other callers notice nothing.
+def test_caller_that_stops_reading_is_disconnected(monkeypatch):
+    """The host drops the connection; other callers are not affected.
 
-    A caller asks for a long stream and never reads.  Its window fills, and the
-    server's send, which cannot be cancelled, waits.  The kernel ends the
-    connection after the send timeout, and the request's place is free again.
+    A caller requests a long stream and never reads it.  Its TCP window fills, and
+    the server's send, which cannot be cancelled, blocks.  The kernel closes the
+    connection after the send timeout, which frees the request's slot.
     """
     monkeypatch.setattr("radishfield.web._listener.SEND_TIMEOUT_MS", 500)
     words = ["word" * 4000] * 2000
@@ -202,9 +202,9 @@
             assert serving.cancelled == 1
 
 
-def wait_until(holds, timeout_s=10.0):
+def wait_until(condition, timeout_s=10.0):
     for _ in range(int(timeout_s / 0.02)):
-        if holds():
+        if condition():
             return True
         threading.Event().wait(0.02)
     return False
--- a/radishfield/edges/operator_test.py
+++ b/radishfield/edges/operator_test.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' edge against a small fleet in memory."""
+"""Tests the operators' application with a small fleet in memory."""
 
 import json
 
@@ -19,7 +19,7 @@
 
 
 class MemoryFleet:
-    """`FleetOperations` over a dict; a changed version is a conflict."""
+    """`FleetOperations` on a dict; a mismatched expected version is a conflict."""
 
     def __init__(self):
         self.by_name = {}
@@ -105,20 +105,20 @@
     assert listed["retired"]
 
 
-def test_the_operator_who_lost_a_race_is_told_what_won():
+def test_conflicting_profile_change_reports_winning_version():
     app = make_app()
     ask(app, "POST", "/v1/profiles", REVIEW)
     body = REVIEW | {"expected_version": 1}
     assert ask(app, "PUT", "/v1/profiles/review", body).status == 200
-    lost = ask(app, "PUT", "/v1/profiles/review", body)
-    assert (lost.status, lost.code) == (409, ResultCode.CHANGE_CONFLICT)
-    assert "version 2 won" in lost.json["error"]["message"]
+    rejected = ask(app, "PUT", "/v1/profiles/review", body)
+    assert (rejected.status, rejected.code) == (409, ResultCode.CHANGE_CONFLICT)
+    assert "version 2 won" in rejected.json["error"]["message"]
 
 
 @pytest.mark.parametrize(
     ("token", "scheme"), [("wrong", "Bearer"), ("", "Bearer"), (TOKEN, "Basic")]
 )
-def test_nothing_is_done_or_told_without_the_token(token, scheme):
+def test_requests_without_valid_token_are_refused(token, scheme):
     fleet = MemoryFleet()
     app = make_app(fleet)
     for method, path in (("PUT", "/v1/drains/zone/a"), ("GET", "/metrics")):
@@ -140,7 +140,7 @@
     assert b"radishfield_refusals_total" in ask(app, "GET", "/metrics").body
 
 
-def test_a_request_is_explained_by_the_id_that_its_caller_knows():
+def test_request_is_explained_by_caller_id():
     records = RequestRecords()
     records.open("inside", "mine", "default", "review", 1.0)
     app = make_app(records=records)
