--- a/radishfield/edges/__init__.py
+++ b/radishfield/edges/__init__.py
@@ -1,4 +1,4 @@
-"""The edges: callers, targets, the platform, operators and peers."""
+"""Interfaces to callers, targets, the platform, operators and peer hosts."""
 
 from radishfield.edges._absent import (
     AbsentPlatform,
--- a/radishfield/edges/_absent.py
+++ b/radishfield/edges/_absent.py
@@ -1,6 +1,6 @@
-"""What stands in an entry host's wiring where its settings name nobody.
+"""Null ports for an entry host whose settings name no platform or no peers.
 
-A host without a platform or without peers serves from its settings file alone.
+Such a host serves from its settings file alone.
 """
 
 from collections.abc import Callable, Sequence
@@ -24,7 +24,7 @@
 
 
 class AbsentPlatform:
-    """A `PlatformPort` that is never reached."""
+    """A `PlatformPort` whose every call fails."""
 
     __slots__ = ()
 
@@ -54,39 +54,39 @@
 
 
 class LonePeer:
-    """A `PeerPort` of a host that knows only itself."""
+    """A `PeerPort` of a host without peers."""
 
-    __slots__ = ("_self",)
+    __slots__ = ("_own",)
 
     def __init__(self, own: Member):
-        self._self = own
+        self._own = own
 
     def members(self) -> Sequence[Member]:
         """Return this host."""
-        return (self._self,)
+        return (self._own,)
 
     async def ask(
         self, member_id: str, topic: str, payload: bytes, timeout_s: float
     ) -> Result[bytes, Fault]:
-        """Fail; there is nobody to ask."""
+        """Fail; there is no peer to query."""
         return Error(_NO_PEERS)
 
     def answer(self, topic: str, handler: PeerHandler) -> None:
-        """Keep nothing; nobody asks."""
+        """Ignore the handler; no peer sends requests."""
 
     async def tell(self, member_ids: Sequence[str], topic: str, payload: bytes) -> None:
         """Send nothing."""
 
     def hear(self, topic: str, handler: Callable[[str, bytes], None]) -> None:
-        """Keep nothing; nobody tells."""
+        """Ignore the handler; no peer sends datagrams."""
 
     def add_seeds(self, addresses: Sequence[str]) -> None:
-        """Look for nobody."""
+        """Ignore the addresses."""
 
     def compare_state(
         self, digest: Callable[[], int], differs: Callable[[str], None]
     ) -> None:
-        """Compare with nobody."""
+        """Ignore the callbacks; there is no peer to compare with."""
 
     async def announce_leaving(self) -> None:
-        """Tell nobody."""
+        """Send nothing."""
--- a/radishfield/edges/_peer.py
+++ b/radishfield/edges/_peer.py
@@ -1,7 +1,7 @@
-"""The network between entry hosts: heartbeats, news, questions and answers.
+"""The network between entry hosts: heartbeats, datagrams, requests and answers.
 
-The membership itself is decided by the pure `radishfield.fleet.Membership`;
-here are the sockets, the probes in time, and the counters.
+The pure `radishfield.fleet.Membership` decides on the membership itself.  This
+module adds the sockets, the timed probes and the counters.
 """
 
 import random
@@ -40,38 +40,38 @@
 DATAGRAM_CONTEXT = b"radishfield datagram"
 
 UPDATES_PER_FRAME = 6
-"""About 50 bytes each: news of a dozen members passes in two heartbeats."""
+"""About 50 bytes each: updates on a dozen members fit in two heartbeats."""
 
-LEAVING_TOLD = 12
-"""Members told at once that this host leaves; heartbeats tell the others."""
+LEAVING_NOTICES = 12
+"""Members notified at once that this host leaves; heartbeats notify the others."""
 
 NO_STATE = 0
-"""Digest of a host that compares no state."""
+"""Digest that a host sends while no state is compared."""
 
 
 class PeerNetwork:
-    """A `PeerPort`, and a service.
+    """A `PeerPort` over datagrams and connections, run as a service.
 
     Attributes
     ----------
     bytes_sent, bytes_received : int
-        Datagram payloads; connections are counted apart in ``streams``.
+        Datagram payloads; connections are counted separately in ``streams``.
     frames_sent : Counter
-        By kind of body.
+        By type of the frame's body.
     dropped_by_code : Counter
-        Frames that were not taken in, by result code.
+        Dropped frames, by result code.
     """
 
     __slots__ = (
-        "_chance",
         "_clock",
+        "_datagram_handler_by_topic",
         "_digest",
-        "_differs",
         "_handler_by_topic",
-        "_hearer_by_topic",
         "_membership",
         "_prober",
-        "_replays",
+        "_replay_guard",
+        "_report_difference",
+        "_rng",
         "_sealer",
         "_sequence",
         "_settings",
@@ -88,22 +88,22 @@
         settings: PeerSettings,
         clock: Clock,
         transport: PeerTransport | None = None,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
     ):
         self._settings = settings
         self._clock = clock
         self._transport = transport or SocketTransport(settings.address)
-        self._chance = chance or random.Random()
+        self._rng = rng or random.Random()
         incarnation = settings.incarnation or int(time.time() * 1_000)
         own = Update(settings.id, settings.zone, settings.address, incarnation)
-        self._membership = Membership(own, settings.period_s, self._chance)
+        self._membership = Membership(own, settings.period_s, self._rng)
         self._sealer = Sealer(settings.keys)
-        self._replays = ReplayGuard()
+        self._replay_guard = ReplayGuard()
         self._sequence = 0
         self._digest: Callable[[], int] = lambda: NO_STATE
-        self._differs: Callable[[str], None] = lambda member_id: None
+        self._report_difference: Callable[[str], None] = lambda member_id: None
         self._handler_by_topic: dict[str, PeerHandler] = {}
-        self._hearer_by_topic: dict[str, NewsHandler] = {}
+        self._datagram_handler_by_topic: dict[str, NewsHandler] = {}
         self.bytes_sent = 0
         self.bytes_received = 0
         self.frames_sent: Counter[str] = Counter()
@@ -116,13 +116,13 @@
             self.dropped_by_code,
         )
         self._prober = Prober(
-            settings, self._membership, self.streams, self._send, clock, self._chance
+            settings, self._membership, self.streams, self._send, clock, self._rng
         )
         self.answer(MEMBERS_TOPIC, self._prober.answer_members)
 
     @property
     def membership(self) -> Membership:
-        """Return the state machine, for its counters."""
+        """Return the membership state machine, for its counters."""
         return self._membership
 
     def members(self) -> Sequence[Member]:
@@ -130,28 +130,28 @@
         return self._membership.members()
 
     def answer(self, topic: str, handler: PeerHandler) -> None:
-        """Register the coroutine that answers a topic's questions."""
+        """Register the coroutine that answers a topic's requests."""
         self._handler_by_topic[topic] = handler
 
     def hear(self, topic: str, handler: NewsHandler) -> None:
-        """Register what takes in a topic's datagrams."""
-        self._hearer_by_topic[topic] = handler
+        """Register the handler of a topic's datagrams."""
+        self._datagram_handler_by_topic[topic] = handler
 
     def compare_state(
         self, digest: Callable[[], int], differs: Callable[[str], None]
     ) -> None:
         """Carry a digest in each heartbeat; see `PeerMessages`."""
         self._digest = digest
-        self._differs = differs
+        self._report_difference = differs
 
     def add_seeds(self, addresses: Sequence[str]) -> None:
-        """Try these addresses too, for example those of the platform's list."""
+        """Add addresses to try, for example those of the platform's list."""
         self._prober.add_seeds(addresses)
 
     async def ask(
         self, member_id: str, topic: str, payload: bytes, timeout_s: float
     ) -> Result[bytes, Fault]:
-        """Send one question and return its answer."""
+        """Send one request and return its answer."""
         member = self._membership.find(member_id)
         if member is None:
             return Error(fault(ResultCode.PEER_UNREACHABLE, f"unknown {member_id}"))
@@ -167,9 +167,9 @@
                 await self._send(member_id, member.address, News(topic, payload), 0)
 
     async def announce_leaving(self) -> None:
-        """Tell the other hosts that this one leaves, in each frame from now on."""
+        """Announce in each frame from now on that this host leaves."""
         self._membership.leave()
-        await self._prober.announce(LEAVING_TOLD)
+        await self._prober.announce(LEAVING_NOTICES)
 
     async def drain(self) -> None:
         """Announce leaving when the kernel drains its services."""
@@ -198,16 +198,16 @@
             frame = self._sealer.unseal(data, DATAGRAM_CONTEXT).bind(decode_frame)
             match frame:
                 case Result(tag="ok", ok=accepted):
-                    await self._take_in(accepted, address)
+                    await self._handle_frame(accepted, address)
                 case Result(tag="error", error=problem):
                     self.dropped_by_code[problem.code] += 1
 
-    async def _take_in(self, frame: Frame, address: str) -> None:
+    async def _handle_frame(self, frame: Frame, address: str) -> None:
         sender = frame.sender
-        if not self._replays.accept(sender.id, sender.incarnation, frame.sequence):
+        if not self._replay_guard.accept(sender.id, sender.incarnation, frame.sequence):
             self.dropped_by_code[ResultCode.PEER_STALE] += 1
             return
-        self._prober.note_heard()
+        self._prober.count_received()
         now = self._clock.now()
         self._membership.observe(sender, now)
         for update in frame.updates:
@@ -216,16 +216,16 @@
             case Ping():
                 await self._send(sender.id, address, Ack(), frame.number)
             case Ack():
-                await self._prober.take_ack(frame.number)
+                await self._prober.handle_ack(frame.number)
             case Relay(target):
                 await self._prober.relay(target, address, frame.number)
             case News(topic, payload):
-                hearer = self._hearer_by_topic.get(topic)
-                if hearer is not None:
-                    hearer(sender.id, payload)
+                handler = self._datagram_handler_by_topic.get(topic)
+                if handler is not None:
+                    handler(sender.id, payload)
                 return
         if frame.digest != self._digest():
-            self._differs(sender.id)
+            self._report_difference(sender.id)
 
     async def _send(
         self, member_id: str, address: str, body: Ping | Ack | Relay | News, number: int
--- a/radishfield/edges/_peer_frames.py
+++ b/radishfield/edges/_peer_frames.py
@@ -11,27 +11,27 @@
 from radishfield.fleet import Update, read_packed
 
 SCHEMA_VERSION = 1
-"""Raised where an older host would misread a frame; added fields don't raise it."""
+"""Increased when an older host would misread a frame, not when a field is added."""
 
 ACCEPTED_VERSIONS = (1,)
-"""During a rolling upgrade: this one and the one before."""
+"""During a rolling upgrade: the current version and the previous one."""
 
 MAX_DATAGRAM_BYTES = 1_400
-"""Fits one Ethernet packet; a fragmented datagram is lost with any fragment."""
+"""Fits one Ethernet packet; losing any fragment loses a fragmented datagram."""
 
 MAX_MESSAGE_BYTES = 2 << 20
-"""A value of the platform has up to a megabyte, and travels whole."""
+"""A platform value has up to a megabyte and is sent in one message."""
 
 _FRAME_WORDS = 4_096
 _MESSAGE_WORDS = 1 << 19
-# Traversal limits of 32 KB and 4 MB: packing lets a few bytes claim far more.
+# Traversal limits of 32 KB and 4 MB: a few packed bytes can expand to far more.
 
 _schema = capnp.load(str(Path(__file__).with_name("peer.capnp")))
 
 
 @dataclass(slots=True, frozen=True)
 class Ping:
-    """Asks a member for an `Ack`."""
+    """Requests an `Ack` from a member."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -41,14 +41,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Relay:
-    """Asks to probe the member at an address on the sender's behalf."""
+    """Requests a probe of the member at an address on the sender's behalf."""
 
     address: str
 
 
 @dataclass(slots=True, frozen=True)
 class News:
-    """A topic's datagram."""
+    """A datagram for the handler of a topic."""
 
     topic: str
     payload: bytes
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Frame:
-    """One datagram; ``sender`` is the sending host's update of itself."""
+    """One datagram; ``sender`` is the sending host's update about itself."""
 
     sender: Update
     sequence: int
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Question:
-    """A question on a connection; the recipient refuses another's."""
+    """A request on a connection; a host rejects one for another recipient."""
 
     sender: str
     recipient: str
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """The answer to the question of the same number."""
+    """The answer to the request of the same number."""
 
     number: int
     result: Result[bytes, Fault]
@@ -113,11 +113,13 @@
 
 def decode_frame(data: bytes) -> Result[Frame, Fault]:
     """Return the frame, or why it is dropped."""
-    return read_packed(_schema.Frame, data, _frame, _FRAME_WORDS).bind(_known_version)
+    return read_packed(_schema.Frame, data, _parse_frame, _FRAME_WORDS).bind(
+        _check_version
+    )
 
 
 def encode_question(question: Question) -> bytes:
-    """Return a question's packed form."""
+    """Return a request's packed form."""
     return _schema.Question.new_message(
         schemaVersion=SCHEMA_VERSION,
         sender=question.sender,
@@ -129,9 +131,9 @@
 
 
 def decode_question(data: bytes) -> Result[Question, Fault]:
-    """Return the question, or why it is dropped."""
-    read = read_packed(_schema.Question, data, _question, _MESSAGE_WORDS)
-    return read.bind(_known_version)
+    """Return the request, or why it is dropped."""
+    parsed = read_packed(_schema.Question, data, _parse_question, _MESSAGE_WORDS)
+    return parsed.bind(_check_version)
 
 
 def encode_answer(answer: Answer) -> bytes:
@@ -149,11 +151,11 @@
 
 def decode_answer(data: bytes) -> Result[Answer, Fault]:
     """Return the answer, or why it is dropped."""
-    return read_packed(_schema.Answer, data, _answer, _MESSAGE_WORDS)
+    return read_packed(_schema.Answer, data, _parse_answer, _MESSAGE_WORDS)
 
 
 def encode_updates(updates: Sequence[Update]) -> bytes:
-    """Return the packed form of a whole list of members."""
+    """Return the packed form of a complete member list."""
     message = _schema.Updates.new_message()
     entries = message.init("updates", len(updates))
     for entry, update in zip(entries, updates, strict=True):
@@ -162,45 +164,45 @@
 
 
 def decode_updates(data: bytes) -> Result[Sequence[Update], Fault]:
-    """Return a whole list of members, or why it is dropped."""
+    """Return a complete member list, or why it is dropped."""
     return read_packed(
         _schema.Updates,
         data,
-        lambda reader: [_update(entry) for entry in reader.updates],
+        lambda reader: [_parse_update(entry) for entry in reader.updates],
         _MESSAGE_WORDS,
     )
 
 
 @dataclass(slots=True, frozen=True)
 class _Versioned:
-    """A message and the version of the schema that it was written by."""
+    """A message and the schema version it was written with."""
 
     schema_version: int
     message: object
 
 
-def _known_version(versioned: _Versioned) -> Result:
+def _check_version(versioned: _Versioned) -> Result:
     if versioned.schema_version not in ACCEPTED_VERSIONS:
         detail = str(versioned.schema_version)
         return Error(fault(ResultCode.SCHEMA_VERSION, detail))
     return Ok(versioned.message)
 
 
-def _frame(reader) -> _Versioned:
+def _parse_frame(reader) -> _Versioned:
     if reader.schemaVersion not in ACCEPTED_VERSIONS:
         return _Versioned(reader.schemaVersion, None)
     frame = Frame(
-        sender=_update(reader.sender),
+        sender=_parse_update(reader.sender),
         sequence=reader.sequence,
         digest=reader.digest,
         number=reader.number,
-        body=_body(reader.body),
-        updates=tuple(_update(entry) for entry in reader.updates),
+        body=_parse_body(reader.body),
+        updates=tuple(_parse_update(entry) for entry in reader.updates),
     )
     return _Versioned(reader.schemaVersion, frame)
 
 
-def _question(reader) -> _Versioned:
+def _parse_question(reader) -> _Versioned:
     question = Question(
         reader.sender,
         reader.recipient,
@@ -211,7 +213,7 @@
     return _Versioned(reader.schemaVersion, question)
 
 
-def _answer(reader) -> Answer:
+def _parse_answer(reader) -> Answer:
     result: Result[bytes, Fault] = Ok(bytes(reader.payload))
     if reader.faultCode:
         retry_after_s = reader.retryAfterMs / 1_000 or None
@@ -220,7 +222,7 @@
     return Answer(reader.number, result)
 
 
-def _body(reader) -> Ping | Ack | Relay | News:
+def _parse_body(reader) -> Ping | Ack | Relay | News:
     match reader.which():
         case "ping":
             return Ping()
@@ -231,7 +233,7 @@
         case "news":
             return News(reader.news.topic, bytes(reader.news.payload))
         case other:
-            raise ValueError(f"unknown body {other}")
+            raise ValueError(f"unknown frame body {other}")
 
 
 def _fill_update(entry, update: Update) -> None:
@@ -245,7 +247,7 @@
         entry.accuser = update.accuser
 
 
-def _update(entry) -> Update:
+def _parse_update(entry) -> Update:
     return Update(
         id=entry.id,
         zone=entry.zone,
--- a/radishfield/edges/_peer_settings.py
+++ b/radishfield/edges/_peer_settings.py
@@ -1,4 +1,4 @@
-"""Who a host is among its peers, and how often it calls them."""
+"""Settings of a host's connection to its peers."""
 
 from dataclasses import dataclass
 
@@ -7,20 +7,20 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerSettings:
-    """Who this host is among its peers.
+    """Identity of this host among its peers, and the probe period.
 
     Attributes
     ----------
     address : str
-        ``ip:port``, both bound and told to others.
+        ``ip:port``, both bound and announced to other hosts.
     keys : tuple of PeerKey
-        The first one signs; all are accepted.
+        The first one signs frames; all are accepted.
     seeds : tuple of str
-        Addresses to try first; hosts from the platform's list come on top.
+        Addresses to try first; hosts from the platform's list are added.
     period_s : float
         Seconds between probes, doubled in a fleet of over 100 hosts.
     incarnation : int
-        0 takes the wall clock in milliseconds, which rises at each start.
+        0 means the wall clock in milliseconds, which is higher at each start.
     """
 
     id: str
--- a/radishfield/edges/_peer_streams.py
+++ b/radishfield/edges/_peer_streams.py
@@ -1,9 +1,9 @@
-"""Questions and answers between entry hosts, over connections.
+"""Requests and answers between entry hosts, over connections.
 
-Each connection carries one question at a time and is served by one task.  Both
-ends open with a random number, and both numbers go into the code of every
-frame on the connection: a recorded frame fits no other connection, and on its
-own one the numbers of the questions have to rise.
+Each connection carries one request at a time and is served by one task.  Both
+ends start by sending a nonce, and both nonces go into the MAC of every frame on
+the connection.  A recorded frame therefore fails on any other connection; on
+the same connection it fails because request numbers must increase.
 """
 
 import secrets
@@ -30,22 +30,22 @@
 LENGTH_BYTES = 4
 
 IDLE_CONNECTIONS_PER_PEER = 4
-"""Questions to one peer that are often in flight together."""
+"""Requests to one peer that are often in flight at the same time."""
 
 MAX_CONNECTIONS = 1_024
-"""Three for each of 340 peers; past it a connection is closed unread."""
+"""Three for each of 340 peers; further connections are closed unread."""
 
-SERVER_IDLE_S = 60.0
-"""A connection that went silent for good is closed after this."""
+SERVER_IDLE_TIMEOUT_S = 60.0
+"""A connection that is permanently stalled is closed after this."""
 
-OPENING_S = 5.0
-"""A stranger that connects and says nothing holds a task no longer than this."""
+HANDSHAKE_TIMEOUT_S = 5.0
+"""A client that connects and sends nothing occupies a task no longer than this."""
 
-WRITE_S = 10.0
+WRITE_TIMEOUT_S = 10.0
 
 
 class Connection:
-    """A stream with its two numbers; frames are length-prefixed and sealed."""
+    """A stream with its two nonces; frames are length-prefixed and sealed."""
 
     __slots__ = ("_context", "_stream", "last_number")
 
@@ -56,17 +56,19 @@
 
     @classmethod
     async def connect(cls, transport: PeerTransport, address: str) -> "Connection":
-        """Open a connection and exchange numbers."""
+        """Open a connection and exchange nonces."""
         stream = await transport.connect(address)
-        return await cls._agree(stream, is_client=True)
+        return await cls._exchange_nonces(stream, is_client=True)
 
     @classmethod
     async def accept(cls, stream: trio.abc.Stream) -> "Connection":
-        """Exchange numbers on an accepted connection."""
-        return await cls._agree(stream, is_client=False)
+        """Exchange nonces on an accepted connection."""
+        return await cls._exchange_nonces(stream, is_client=False)
 
     @classmethod
-    async def _agree(cls, stream: trio.abc.Stream, is_client: bool) -> "Connection":
+    async def _exchange_nonces(
+        cls, stream: trio.abc.Stream, is_client: bool
+    ) -> "Connection":
         own = secrets.token_bytes(NONCE_BYTES)
         try:
             await stream.send_all(own)
@@ -92,17 +94,17 @@
         return sealer.unseal(await _read_exactly(self._stream, length), self._context)
 
     async def close(self) -> None:
-        """Close at once; nothing is awaited from the other end."""
+        """Close at once, without waiting for the other end."""
         await trio.aclose_forcefully(self._stream)
 
 
 class PeerStreams:
-    """Asks peers over kept connections, and answers theirs."""
+    """Sends requests to peers over kept connections, and answers theirs."""
 
     __slots__ = (
         "_handler_by_topic",
         "_idle_by_address",
-        "_open",
+        "_open_count",
         "_own_id",
         "_sealer",
         "_transport",
@@ -123,17 +125,17 @@
         self._sealer = sealer
         self._handler_by_topic = handler_by_topic
         self._idle_by_address: dict[str, list[Connection]] = {}
-        self._open = 0
+        self._open_count = 0
         self.bytes_sent = 0
         self.dropped_by_code = dropped_by_code
 
     async def ask(
         self, member_id: str, address: str, topic: str, payload: bytes, timeout_s: float
     ) -> Result[bytes, Fault]:
-        """Ask on a kept connection, else on a new one.
+        """Send a request on a kept connection, else on a new one.
 
-        A kept connection may have gone silent for good while new ones work.
-        It gets half of the time; then a new one gets the rest.
+        A kept connection may be permanently stalled while new ones work.  It gets
+        half of the time; then a new one gets the rest.
         """
         if len(payload) > MAX_MESSAGE_BYTES - 1_024:
             return Error(fault(ResultCode.FRAME_TOO_LARGE, f"{len(payload)} bytes"))
@@ -141,38 +143,40 @@
         with trio.move_on_after(timeout_s):
             idle = self._idle_by_address.get(address)
             if idle:
-                answer = await self._ask_on(
+                answer = await self._request_on(
                     idle.pop(), address, question, timeout_s / 2
                 )
                 if answer is not None:
                     return answer
             connection = await self._connect(address)
             if connection is not None:
-                answer = await self._ask_on(connection, address, question, timeout_s)
+                answer = await self._request_on(
+                    connection, address, question, timeout_s
+                )
                 if answer is not None:
                     return answer
         return Error(fault(ResultCode.PEER_UNREACHABLE, member_id, 1.0))
 
     async def serve(self, stream: trio.abc.Stream) -> None:
-        """Answer the questions of one connection until it ends."""
-        if self._open >= MAX_CONNECTIONS:
+        """Answer the requests of one connection until it ends."""
+        if self._open_count >= MAX_CONNECTIONS:
             await trio.aclose_forcefully(stream)
             return
-        self._open += 1
+        self._open_count += 1
         connection = None
         try:
-            with trio.move_on_after(OPENING_S):
+            with trio.move_on_after(HANDSHAKE_TIMEOUT_S):
                 connection = await Connection.accept(stream)
             if connection is not None:
-                await self._answer_all(connection)
+                await self._answer_requests(connection)
         except (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         finally:
-            self._open -= 1
+            self._open_count -= 1
             await trio.aclose_forcefully(stream)
 
     async def forget(self, address: str) -> None:
-        """Close the kept connections to a peer that is gone."""
+        """Close the kept connections to a dead peer."""
         for connection in self._idle_by_address.pop(address, []):
             await connection.close()
 
@@ -182,19 +186,19 @@
         except (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
             return None
 
-    async def _ask_on(
-        self, connection: Connection, address: str, question: Question, limit_s: float
+    async def _request_on(
+        self, connection: Connection, address: str, question: Question, timeout_s: float
     ) -> Result[bytes, Fault] | None:
-        """Ask on one connection; None where it broke or stayed silent."""
+        """Send a request on one connection; return None if it broke or timed out."""
         answer: Answer | None = None
         try:
-            with trio.move_on_after(limit_s):
+            with trio.move_on_after(timeout_s):
                 answer = await self._exchange(connection, question)
         except (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         finally:
             # Without an answer the connection is in an unknown state: a late
-            # answer on it would be taken for that of the next question.
+            # answer on it would be taken for the answer to the next request.
             if answer is None:
                 await connection.close()
         if answer is None:
@@ -230,30 +234,30 @@
             return None
         return decoded.ok
 
-    async def _answer_all(self, connection: Connection) -> None:
+    async def _answer_requests(self, connection: Connection) -> None:
         while True:
             received = None
-            with trio.move_on_after(SERVER_IDLE_S):
+            with trio.move_on_after(SERVER_IDLE_TIMEOUT_S):
                 received = await connection.receive(self._sealer)
             if received is None:
                 return
             question = received.bind(decode_question)
-            problem = self._refusal(question, connection)
+            problem = self._rejection_code(question, connection)
             if problem is not None:
                 self.dropped_by_code[problem] += 1
                 return
-            asked = question.ok
-            connection.last_number = asked.number
-            answer = Answer(asked.number, await self._handle(asked))
-            with trio.fail_after(WRITE_S):
+            accepted = question.ok
+            connection.last_number = accepted.number
+            answer = Answer(accepted.number, await self._handle(accepted))
+            with trio.fail_after(WRITE_TIMEOUT_S):
                 self.bytes_sent += await connection.send(
                     encode_answer(answer), self._sealer
                 )
 
-    def _refusal(
+    def _rejection_code(
         self, question: Result[Question, Fault], connection: Connection
     ) -> ResultCode | None:
-        """Return why a connection is closed on a question, if so."""
+        """Return why a request closes its connection, or None if it is valid."""
         if question.is_error():
             return question.error.code
         if question.ok.number <= connection.last_number:
@@ -265,7 +269,9 @@
     async def _handle(self, question: Question) -> Result[bytes, Fault]:
         handler = self._handler_by_topic.get(question.topic)
         if handler is None:
-            return Error(fault(ResultCode.BAD_FRAME, f"no topic {question.topic}"))
+            return Error(
+                fault(ResultCode.BAD_FRAME, f"no handler for topic {question.topic}")
+            )
         return await handler(question.sender, question.payload)
 
 
@@ -274,6 +280,6 @@
     while len(received) < length:
         chunk = await stream.receive_some(length - len(received))
         if not chunk:
-            raise ConnectionResetError("end of stream inside a frame")
+            raise ConnectionResetError("peer closed the connection within a frame")
         received += chunk
     return bytes(received)
--- a/radishfield/edges/_peer_transport.py
+++ b/radishfield/edges/_peer_transport.py
@@ -10,11 +10,11 @@
 StreamHandler = Callable[[trio.abc.Stream], Awaitable[None]]
 
 _RECEIVE_BYTES = 2_048
-# A datagram longer than any frame is cut here, and fails its code.
+# A datagram longer than any frame is truncated here, and fails its MAC.
 
 
 class PeerTransport(Protocol):
-    """What `PeerNetwork` needs; tests and benches have one in memory."""
+    """The transport that `PeerNetwork` needs; tests use one in memory."""
 
     async def open(self) -> None:
         """Bind the sockets."""
@@ -23,13 +23,13 @@
         """Close the sockets."""
 
     async def send(self, data: bytes, address: str) -> None:
-        """Send a datagram; it may be lost, also without an error."""
+        """Send a datagram; it may be lost without an error."""
 
     async def receive(self) -> tuple[bytes, str]:
         """Return the next datagram and its sender's address."""
 
     async def connect(self, address: str) -> trio.abc.Stream:
-        """Open a connection; raise `OSError` where it fails."""
+        """Open a connection; raise `OSError` on failure."""
 
     async def serve(self, handler: StreamHandler) -> None:
         """Run the handler in a task for each connection, until cancelled."""
@@ -47,11 +47,11 @@
 
     @property
     def address(self) -> str:
-        """Return ``ip:port`` as bound; port 0 is replaced by the one in use."""
+        """Return ``ip:port`` as bound; port 0 is replaced by the port in use."""
         return self._address
 
     async def open(self) -> None:
-        """Bind both sockets, TCP first, so that port 0 finds one free for both."""
+        """Bind both sockets, TCP first; with port 0, UDP uses the port TCP got."""
         host, port = split_address(self._address)
         self._listeners = await trio.open_tcp_listeners(port, host=host)
         bound_port = self._listeners[0].socket.getsockname()[1]
@@ -69,7 +69,7 @@
             listener.socket.close()
 
     async def send(self, data: bytes, address: str) -> None:
-        """Send a datagram; what the network refuses counts as lost."""
+        """Send a datagram; one that the network refuses counts as lost."""
         try:
             await self._datagrams.sendto(data, split_address(address))
         except OSError:
@@ -81,7 +81,7 @@
             try:
                 data, (host, port) = await self._datagrams.recvfrom(_RECEIVE_BYTES)
             except ConnectionError:
-                # An earlier datagram went to a port that nobody listens on.
+                # An earlier datagram went to a port without a listener.
                 continue
             return data, f"{host}:{port}"
 
--- a/radishfield/edges/_platform.py
+++ b/radishfield/edges/_platform.py
@@ -1,7 +1,7 @@
-"""The object API of the developers' stand-in: a `PlatformPort` over HTTP.
+"""A `PlatformPort` over HTTP, for the object API of the platform stand-in.
 
-A write whose answer is lost comes back as ``PLATFORM_AMBIGUOUS`` and is never sent
-again from here; `radishfield.fleet.write_settled` settles it by its identity.
+A write whose answer is lost returns ``PLATFORM_AMBIGUOUS`` and is never retried
+here; `radishfield.fleet.write_settled` resolves it by its identity.
 """
 
 import random
@@ -37,27 +37,27 @@
 
 T = TypeVar("T")
 
-_RETRIED = (ResultCode.PLATFORM_UNAVAILABLE, ResultCode.PLATFORM_RATE_LIMITED)
+_RETRIED_CODES = (ResultCode.PLATFORM_UNAVAILABLE, ResultCode.PLATFORM_RATE_LIMITED)
 
 MAX_VALUE_BYTES = 1 << 20
-"""The platform holds values of up to a megabyte; larger ones are not sent."""
+"""The platform stores values of up to a megabyte; larger ones are not sent."""
 
 MAX_ANSWER_BYTES = 32 << 20
-"""A list of 2,200 targets is about 1 MB; more than this is a broken answer."""
+"""A list of 2,200 targets is about 1 MB; a larger answer than this is malformed."""
 
 
 @dataclass(slots=True, frozen=True)
 class PlatformSettings:
-    """Where the platform is and how patiently it is asked.
+    """Address of the platform, and limits on calls to it.
 
     Attributes
     ----------
     caller : str
-        Name under which the platform counts this host's calls.
+        Name by which the platform counts this host's calls.
     timeout_s : float
-        Seconds for one call; the platform answers in milliseconds.
+        Timeout of one call; the platform typically answers in milliseconds.
     tries : int
-        Times that a call without lasting effect is sent at the most.
+        Maximum number of attempts for a call without side effects.
     """
 
     address: str = "127.0.0.1:7000"
@@ -75,15 +75,15 @@
 
 
 class HttpPlatform:
-    """The platform as this host reaches it."""
+    """Client of the platform, with a budget of calls and with retries."""
 
-    __slots__ = ("_caller", "_chance", "_settings")
+    __slots__ = ("_caller", "_rng", "_settings")
 
     def __init__(
-        self, settings: PlatformSettings, clock: Clock, chance: random.Random = None
+        self, settings: PlatformSettings, clock: Clock, rng: random.Random = None
     ):
         self._settings = settings
-        self._chance = chance or random.Random()
+        self._rng = rng or random.Random()
         address = ApiAddress(
             settings.address, settings.caller, settings.timeout_s, MAX_ANSWER_BYTES
         )
@@ -97,27 +97,29 @@
 
     @property
     def calls_by_kind(self) -> Counter[str]:
-        """Return the calls that were sent, for the metrics."""
+        """Return the number of calls sent by kind, for the metrics."""
         return self._caller.calls_by_kind
 
     @property
     def faults_by_code(self) -> Counter[ResultCode]:
-        """Return the calls that failed, for the metrics."""
+        """Return the number of failed calls by result code, for the metrics."""
         return self._caller.faults_by_code
 
     @property
     def last_answer_at(self) -> float | None:
-        """Return the reading of the clock at the platform's last answer."""
+        """Return the clock time of the platform's last answer."""
         return self._caller.last_answer_at
 
     async def read(self, kind: str, name: str) -> Result[StoredObject, Fault]:
         """Return an object, or ``OBJECT_NOT_FOUND``."""
-        path = f"/objects/{_quoted(kind)}/{_quoted(name)}"
+        path = f"/objects/{_quote_segment(kind)}/{_quote_segment(name)}"
         return await self._get("read", path, StoredObject)
 
     async def list(self, kind: str) -> Result[StoredListing, Fault]:
         """Return all objects of a kind."""
-        return await self._get("list", f"/objects/{_quoted(kind)}", StoredListing)
+        return await self._get(
+            "list", f"/objects/{_quote_segment(kind)}", StoredListing
+        )
 
     async def hosts(self) -> Result[HostListing, Fault]:
         """Return the list of live and leaving hosts."""
@@ -126,8 +128,8 @@
     async def watch(
         self, kind: str, after: int, timeout_s: float
     ) -> Result[WatchBatch, Fault]:
-        """Wait for changes after a revision; sent once, the caller loops."""
-        path = f"/watch/{_quoted(kind)}?after={after}&timeout_s={timeout_s}"
+        """Wait for changes after a revision; sent once, and the caller loops."""
+        path = f"/watch/{_quote_segment(kind)}?after={after}&timeout_s={timeout_s}"
         limit_s = timeout_s + self._settings.timeout_s
         return await self._get("watch", path, WatchBatch, limit_s, tries=1)
 
@@ -137,7 +139,7 @@
         """Write once, if the stored version is the expected one."""
         if len(value) > MAX_VALUE_BYTES:
             return Error(fault(ResultCode.VALUE_TOO_LARGE, f"{len(value)} bytes"))
-        path = f"/objects/{_quoted(kind)}/{_quoted(name)}"
+        path = f"/objects/{_quote_segment(kind)}/{_quote_segment(name)}"
         body = msgspec.json.encode(_WriteBody(value, expected_version))
         sent = await self._caller.call(
             ApiCall("write", "PUT", path, body, self._settings.timeout_s)
@@ -156,19 +158,19 @@
         tries = tries or self._settings.tries
         for failures in range(tries):
             if failures:
-                await trio.sleep(backoff_s(failures, self._chance))
+                await trio.sleep(backoff_s(failures, self._rng))
             sent = await self._caller.call(ApiCall(call, "GET", path, b"", limit_s))
-            if sent.is_ok() or sent.error.code not in _RETRIED:
+            if sent.is_ok() or sent.error.code not in _RETRIED_CODES:
                 break
         return sent.bind(lambda answer: decode_answer(answer, kind))
 
 
-def _quoted(name: str) -> str:
+def _quote_segment(name: str) -> str:
     return quote(name, safe="")
 
 
 def _parse_written(answer: bytes) -> Result[StoredObject, Fault]:
-    """Return what was written; an answer that can't be read proves nothing."""
+    """Return the written object; after a malformed answer the outcome is unknown."""
     parsed = decode_answer(answer, StoredObject)
     return parsed.map_error(
         lambda problem: fault(ResultCode.PLATFORM_AMBIGUOUS, problem.detail)
--- a/radishfield/edges/_target.py
+++ b/radishfield/edges/_target.py
@@ -1,4 +1,4 @@
-"""The targets' edge: the engine's HTTP protocol behind `TargetPort`."""
+"""Client of targets: the engine's HTTP protocol behind `TargetPort`."""
 
 import itertools
 import math
@@ -39,13 +39,13 @@
     Exchange,
     TargetConnections,
     TargetTimeouts,
-    begin,
     header_of,
-    read_whole,
+    read_answer_body,
+    send_request,
 )
 from radishfield.edges._target_stream import TokenLines
 
-# A whole answer is held in memory until it is passed on.
+# A complete answer is held in memory until it is forwarded.
 MAX_SERVICE_ANSWER_BYTES = 4 << 20
 MAX_CONTROL_ANSWER_BYTES = 1 << 20
 MAX_KV_BYTES = 64 << 20
@@ -56,11 +56,11 @@
 class EngineTargets:
     """Engines and plain services reached over HTTP.
 
-    Nothing is ever sent twice here: whether another try is right depends on
-    the request, so it is the dispatcher's to decide.
+    Requests are never retried here: whether a retry is allowed depends on the
+    request, so the dispatcher decides.
     """
 
-    __slots__ = ("_connections", "_timeouts", "_clock", "_exchanges")
+    __slots__ = ("_connections", "_timeouts", "_clock", "_exchange_numbers")
 
     def __init__(
         self,
@@ -70,7 +70,7 @@
         self._connections = TargetConnections()
         self._timeouts = timeouts or TargetTimeouts()
         self._clock = clock or SystemClock()
-        self._exchanges = itertools.count(1)
+        self._exchange_numbers = itertools.count(1)
 
     @asynccontextmanager
     async def open_stream(
@@ -78,29 +78,31 @@
     ):
         """Start an attempt at the route's first stage.
 
-        ``idle_s`` overrides the setting where the caller knows the expected
+        ``idle_s`` overrides the setting if the caller knows the expected
         time between tokens.
         """
         timeouts = self._timeouts
         if idle_s is not None:
             timeouts = replace(timeouts, idle_s=idle_s)
-        async with self._stream(target, wire.STREAMS_PATH, start, timeouts) as opened:
+        async with self._open_token_stream(
+            target, wire.STREAMS_PATH, start, timeouts
+        ) as opened:
             yield opened
 
     @asynccontextmanager
     async def reopen_stream(
         self, target: Target, request_id: str, attempt: int, position: int
     ):
-        """Attach again, on a new connection, to an attempt that still runs.
+        """Reattach to a running attempt on a new connection.
 
-        The attempt has been handed over before, so no failure here may say
-        "not run".  It has had its time for a first token too: a target that is
-        stopped takes the new connection into its kernel's backlog and would
-        hold the caller for that long again.  One that runs answers at once.
+        The attempt was sent before, so no failure here may be reported as "not
+        run".  Its time for a first token has been used too: a stopped target
+        takes the new connection into its kernel's backlog, which would make the
+        caller wait that long again.  A running target answers at once.
 
-        A connection that is not made in time proves no more than one that is
-        made and says nothing, so it is silence too; only a refused one says that
-        nothing is there.
+        A connection that is not established in time proves no more than one
+        without an answer, so both yield ``STREAM_SILENT``.  Only a refused
+        connection shows that nothing listens at the address.
         """
         body = wire.Reopen(request_id, attempt, position)
         first_token_s = self._timeouts.idle_s
@@ -112,21 +114,23 @@
             answer_s=self._timeouts.control_s,
             first_token_s=first_token_s,
         )
-        async with self._stream(target, wire.REOPEN_PATH, body, timeouts) as opened:
-            yield opened.map_error(_may_have_run)
+        async with self._open_token_stream(
+            target, wire.REOPEN_PATH, body, timeouts
+        ) as opened:
+            yield opened.map_error(_with_unknown_outcome)
 
     async def cancel(
         self, target: Target, request_id: str, attempt: int
     ) -> Result[None, Fault]:
         """Ask a target to forget a request's attempts up to this one."""
         body = wire.Cancel(request_id, attempt)
-        answer = await self._control("POST", target, wire.CANCEL_PATH, body)
+        answer = await self._call_control("POST", target, wire.CANCEL_PATH, body)
         return answer.map(lambda _: None)
 
     async def call(
         self, target: Target, request: ServiceRequest
     ) -> Result[ServiceAnswer, Fault]:
-        """Call a plain service and return its whole answer."""
+        """Call a plain service and return its complete answer."""
         remaining = request.deadline - self._clock.now()
         if remaining <= 0:
             detail = "the deadline passed before the call was sent"
@@ -140,7 +144,7 @@
         )
         with trio.move_on_after(remaining):
             async with AsyncExitStack() as stack:
-                opened = await begin(
+                opened = await send_request(
                     stack,
                     self._connections.fresh,
                     exchange,
@@ -151,53 +155,55 @@
                     case Result(tag="ok", ok=response):
                         return await service_answer(response, MAX_SERVICE_ANSWER_BYTES)
                     case Result(tag="error", error=problem):
-                        return Error(_late(problem))
-        return Error(fault(ResultCode.DEADLINE_PASSED, "no whole answer in time"))
+                        return Error(_as_deadline_fault(problem))
+        return Error(
+            fault(ResultCode.DEADLINE_PASSED, "no complete answer before the deadline")
+        )
 
     async def load(self, target: Target) -> Result[LoadReport, Fault]:
         """Return the target's load report."""
-        answer = await self._control("GET", target, wire.LOAD_PATH)
-        return answer.bind(lambda body: _decoded(body, LoadReport))
+        answer = await self._call_control("GET", target, wire.LOAD_PATH)
+        return answer.bind(lambda body: _decode(body, LoadReport))
 
     async def cache_events(
         self, target: Target, after: int
     ) -> Result[Sequence[CacheEvent], Fault]:
-        """Return cache events with a sequence above ``after``; gaps happen."""
+        """Return cache events with a sequence above ``after``; gaps are possible."""
         path = f"{wire.EVENTS_PATH}?after={after}"
-        answer = await self._control("GET", target, path)
-        decoded = answer.bind(lambda body: _decoded(body, wire.CacheEvents))
+        answer = await self._call_control("GET", target, path)
+        decoded = answer.bind(lambda body: _decode(body, wire.CacheEvents))
         return decoded.map(lambda page: page.events)
 
     async def order(self, target: Target, order: TargetOrder) -> Result[None, Fault]:
-        """Give an order; a fenced order is refused with ``ORDER_FENCED``.
+        """Send an order; a fenced order is refused with ``ORDER_FENCED``.
 
-        A target that is asked again for an order it has carried out answers as
-        if it had just done so, but nothing is asked again here.
+        A target that receives again an order it has carried out answers as if it
+        had just done so, but orders are not retried here.
         """
-        answer = await self._control("POST", target, wire.ORDERS_PATH, order)
-        done = answer.bind(lambda body: _decoded(body, wire.OrderDone))
-        return done.bind(lambda value: _same_fencing(value, order))
+        answer = await self._call_control("POST", target, wire.ORDERS_PATH, order)
+        done = answer.bind(lambda body: _decode(body, wire.OrderDone))
+        return done.bind(lambda value: _check_fencing(value, order))
 
     async def export_kv(
         self, target: Target, request_id: str
     ) -> Result[KvState, Fault]:
         """Read a request's KV cache from a target that is still alive."""
         path = f"{wire.KV_PATH}/{request_id}"
-        answer = await self._control("GET", target, path, max_bytes=MAX_KV_BYTES)
-        return answer.bind(lambda body: _decoded(body, KvState))
+        answer = await self._call_control("GET", target, path, max_bytes=MAX_KV_BYTES)
+        return answer.bind(lambda body: _decode(body, KvState))
 
     async def import_kv(self, target: Target, state: KvState) -> Result[None, Fault]:
-        """Hand a request's KV cache to a target before an attempt starts."""
-        answer = await self._control("PUT", target, wire.KV_PATH, state)
+        """Send a request's KV cache to a target before an attempt starts."""
+        answer = await self._call_control("PUT", target, wire.KV_PATH, state)
         return answer.map(lambda _: None)
 
     @asynccontextmanager
-    async def _stream(
+    async def _open_token_stream(
         self, target: Target, path: str, body: object, timeouts: TargetTimeouts
     ):
-        exchange = self._exchange("POST", target, path, body)
+        exchange = self._build_exchange("POST", target, path, body)
         async with AsyncExitStack() as stack:
-            opened = await begin(
+            opened = await send_request(
                 stack,
                 self._connections.fresh,
                 exchange,
@@ -209,12 +215,12 @@
                     yield Error(problem)
                 case Result(tag="ok", ok=response):
                     with trio.move_on_after(timeouts.control_s) as scope:
-                        checked = await self._checked(response, exchange)
+                        checked_answer = await self._check_answer(response, exchange)
                     if scope.cancelled_caught:
-                        checked = Error(fault(ResultCode.STREAM_SILENT))
-                    yield checked.map(lambda good: _lines(good, timeouts))
+                        checked_answer = Error(fault(ResultCode.STREAM_SILENT))
+                    yield checked_answer.map(lambda good: _token_lines(good, timeouts))
 
-    async def _control(
+    async def _call_control(
         self,
         method: str,
         target: Target,
@@ -222,11 +228,11 @@
         body: object = None,
         max_bytes: int = MAX_CONTROL_ANSWER_BYTES,
     ) -> Result[bytes, Fault]:
-        exchange = self._exchange(method, target, path, body)
+        exchange = self._build_exchange(method, target, path, body)
         limit_s = self._timeouts.control_s
         with trio.move_on_after(limit_s):
             async with AsyncExitStack() as stack:
-                opened = await begin(
+                opened = await send_request(
                     stack,
                     self._connections.pooled,
                     exchange,
@@ -237,15 +243,15 @@
                     case Result(tag="error"):
                         return opened
                     case Result(tag="ok", ok=response):
-                        match await self._checked(response, exchange):
+                        match await self._check_answer(response, exchange):
                             case Result(tag="error", error=problem):
                                 return Error(problem)
-                        return await read_whole(response, max_bytes)
+                        return await read_answer_body(response, max_bytes)
         return Error(fault(ResultCode.STREAM_SILENT, f"no answer within {limit_s} s"))
 
-    def _exchange(self, method: str, target: Target, path: str, body) -> Exchange:
+    def _build_exchange(self, method: str, target: Target, path: str, body) -> Exchange:
         content = b"" if body is None else msgspec.json.encode(body)
-        number = str(next(self._exchanges)).encode()
+        number = str(next(self._exchange_numbers)).encode()
         headers = (
             (b"host", target.address.encode()),
             (b"content-length", str(len(content)).encode()),
@@ -253,7 +259,7 @@
         )
         return Exchange(method, f"http://{target.address}{path}", content, headers)
 
-    async def _checked(
+    async def _check_answer(
         self, response: httpcore.Response, exchange: Exchange
     ) -> Result[httpcore.Response, Fault]:
         if header_of(response, wire.EXCHANGE_HEADER) != exchange.headers[-1][1]:
@@ -264,28 +270,28 @@
         return Error(await refusal_of(response))
 
 
-def _lines(response: httpcore.Response, timeouts: TargetTimeouts) -> TokenStream:
+def _token_lines(response: httpcore.Response, timeouts: TargetTimeouts) -> TokenStream:
     return TokenLines(response, timeouts)
 
 
-def _may_have_run(problem: Fault) -> Fault:
+def _with_unknown_outcome(problem: Fault) -> Fault:
     return replace(problem, proven_outcome=Outcome.UNKNOWN)
 
 
-def _late(problem: Fault) -> Fault:
+def _as_deadline_fault(problem: Fault) -> Fault:
     if problem.code == ResultCode.STREAM_SILENT:
         return fault(ResultCode.DEADLINE_PASSED, problem.detail)
     return problem
 
 
-def _decoded(body: bytes, kind: type[T]) -> Result[T, Fault]:
+def _decode(body: bytes, kind: type[T]) -> Result[T, Fault]:
     try:
         return Ok(msgspec.json.decode(body, type=kind))
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         return Error(fault(ResultCode.MALFORMED_ANSWER, str(error)))
 
 
-def _same_fencing(done: wire.OrderDone, order: TargetOrder) -> Result[None, Fault]:
+def _check_fencing(done: wire.OrderDone, order: TargetOrder) -> Result[None, Fault]:
     if done.fencing == order.fencing:
         return Ok(None)
     return Error(fault(ResultCode.MALFORMED_ANSWER, "answer to another order"))
--- a/radishfield/edges/_target_answers.py
+++ b/radishfield/edges/_target_answers.py
@@ -1,4 +1,4 @@
-"""What a target's answer says: refused before it started, failed, or done."""
+"""Interpretation of a target's answer: refused before start, failed or done."""
 
 import math
 from dataclasses import replace
@@ -9,14 +9,14 @@
 
 from radishfield.core import Fault, ResultCode, ServiceAnswer, ServiceRequest, fault
 from radishfield.edges import _target_wire as wire
-from radishfield.edges._target_http import header_of, read_whole
+from radishfield.edges._target_http import header_of, read_answer_body
 
 MAX_REFUSAL_BYTES = 16 * 1024
-# A target that names no time, or an absurd one, is left alone for this long.
+# Upper bound on the retry delay that a target requests, which may be absurd.
 MAX_RETRY_AFTER_S = 60.0
 
-# Those of a connection are set per connection; the rest would hand a caller's
-# own credentials to a target, which has no business with them.
+# Some headers are set anew for each connection.  The others would give a target
+# the caller's own credentials, which it does not need.
 _DROPPED_HEADERS = frozenset(
     {
         "authorization",
@@ -41,7 +41,7 @@
 async def service_answer(
     response: httpcore.Response, max_bytes: int
 ) -> Result[ServiceAnswer, Fault]:
-    """Return a plain service's answer, whatever its status, once it is whole."""
+    """Return a plain service's complete answer, whatever its status."""
     if _refused_before_start(response):
         return Error(await refusal_of(response))
     headers = tuple(
@@ -49,17 +49,17 @@
         for key, value in response.headers
         if key.decode("latin-1").lower() not in _DROPPED_HEADERS
     )
-    body = await read_whole(response, max_bytes)
-    return body.map(lambda whole: ServiceAnswer(response.status, whole, headers))
+    body = await read_answer_body(response, max_bytes)
+    return body.map(lambda content: ServiceAnswer(response.status, content, headers))
 
 
 async def refusal_of(response: httpcore.Response) -> Fault:
-    """Return the fault that an answer other than 200 stands for.
+    """Return the fault for an answer with a status other than 200.
 
-    ``TARGET_REFUSED`` promises "not run", so only the target's own word that it
-    has not started is enough for it; any other failure leaves it unknown.
+    ``TARGET_REFUSED`` guarantees "not run", so it needs the target's own statement
+    that it has not started.  After any other failure the outcome is unknown.
     """
-    refusal = _decode_refusal(await read_whole(response, MAX_REFUSAL_BYTES))
+    refusal = _decode_refusal(await read_answer_body(response, MAX_REFUSAL_BYTES))
     if refusal.error_code in _ORDER_CODES:
         code = ResultCode(refusal.error_code)
     elif _refused_before_start(response):
@@ -67,12 +67,14 @@
     else:
         code = ResultCode.TARGET_ERROR
     detail = refusal.detail or f"status {response.status}"
-    wait_s = _wait_s(header_of(response, b"retry-after"), refusal.retry_after_s)
-    return replace(fault(code, detail, wait_s), target_id=refusal.target_id)
+    retry_delay_s = _retry_delay_s(
+        header_of(response, b"retry-after"), refusal.retry_after_s
+    )
+    return replace(fault(code, detail, retry_delay_s), target_id=refusal.target_id)
 
 
 def service_headers(request: ServiceRequest) -> tuple[tuple[bytes, bytes], ...]:
-    """Return the headers that go to a plain service."""
+    """Return the headers to send to a plain service."""
     kept = [
         (key.encode("latin-1"), value.encode("latin-1"))
         for key, value in request.headers
@@ -85,8 +87,8 @@
 
 
 def _refused_before_start(response: httpcore.Response) -> bool:
-    said = header_of(response, wire.NOT_STARTED_HEADER).lower() == b"true"
-    return response.status in (429, 503) and said
+    is_marked = header_of(response, wire.NOT_STARTED_HEADER).lower() == b"true"
+    return response.status in (429, 503) and is_marked
 
 
 def _decode_refusal(body: Result[bytes, Fault]) -> wire.Refusal:
@@ -100,7 +102,7 @@
             return wire.Refusal(0, problem.detail)
 
 
-def _wait_s(header: bytes, stated: float | None) -> float | None:
+def _retry_delay_s(header: bytes, stated: float | None) -> float | None:
     try:
         value = float(header) if header else stated
     except ValueError:
--- a/radishfield/edges/_target_http.py
+++ b/radishfield/edges/_target_http.py
@@ -1,17 +1,17 @@
-"""HTTP towards targets: which connection is used, and what a failure proves.
-
-Streams and calls go out on connections of their own, and only short control
-calls are pooled.  A pooled connection may have gone silent, may be closed by
-the target while the request is on its way, and may hold bytes of an earlier
-answer.  The first costs a caller the idle limit; the second makes the outcome
-of a request that may not be repeated unknown for nothing; the third hands one
-caller another's answer.  A connection costs one round trip for each request
-(docs/PIPELINE.md has the figure), which a stream of many tokens does not feel.
-
-httpcore itself repeats nothing once a byte was written: it tries again only
-where a connection was taken away before the request was sent on it.  A write
-error is swallowed there and shows as a disconnect on the following read, so
-"not run" is taken only from the errors of connecting and of the pool's queue.
+"""HTTP requests to targets: choice of connection, and outcome of a failure.
+
+Each stream or call uses a new connection, and only short control calls are
+pooled.  A pooled connection may be stalled, may be closed by the target while
+the request is in transit, and may hold bytes of an earlier answer.  The first
+delays a caller by the idle timeout.  The second makes the outcome of a request
+that may not be retried unknown without need.  The third gives one caller
+another's answer.  A new connection costs one round trip per request
+(docs/PIPELINE.md has the figure), which is negligible for a stream of many tokens.
+
+httpcore itself retries nothing once a byte was written: it retries only if a
+connection was lost before the request was sent on it.  It swallows write errors,
+which appear as a disconnect on the following read, so only errors of connecting
+and of the pool's queue count as "not run".
 """
 
 from contextlib import AsyncExitStack
@@ -24,12 +24,12 @@
 from radishfield.core import Fault, Outcome, ResultCode, fault
 from radishfield.edges._target_network import TargetNetwork
 
-# Streams of one entry host: about 90 at the size of the letter, so this is a
-# bound on a leak or a flood of callers, not on ordinary work.
+# An entry host has about 90 streams at the intended load, so this bounds a leak
+# or a flood of callers, not normal operation.
 MAX_STREAM_CONNECTIONS = 1024
 MAX_CONTROL_CONNECTIONS = 256
-# Idle control connections are closed before a middlebox is likely to forget
-# them: load reports are fetched every second or so, and renew it.
+# Idle control connections are closed before a middlebox is likely to drop them.
+# Load reports, fetched about every second, keep a connection in use.
 CONTROL_KEEPALIVE_S = 15.0
 
 
@@ -40,15 +40,15 @@
     Attributes
     ----------
     answer_s : float
-        From the start of a stream to the head of its answer, which some engines
+        From the start of a stream to the headers of its answer, which some engines
         send only with the first token.
     first_token_s : float
-        From the start of a stream to its first token.  A long prompt's prefill
-        takes seconds, and must not be taken for silence.
+        From the start of a stream to its first token.  The prefill of a long
+        prompt takes seconds and must not count as a stalled stream.
     idle_s : float
         Between tokens after the first: many times the expected 43 ms.
     control_s : float
-        For a whole load report, order or other control call.
+        For a complete load report, order or other control call.
     """
 
     connect_s: float = 1.0
@@ -59,7 +59,7 @@
 
 
 class TargetConnections:
-    """The two ways to reach a target over HTTP."""
+    """HTTP connections to targets: a new one per request, or pooled ones."""
 
     __slots__ = ("fresh", "pooled")
 
@@ -87,17 +87,17 @@
     headers: tuple[tuple[bytes, bytes], ...] = ()
 
 
-async def begin(
+async def send_request(
     stack: AsyncExitStack,
     pool: httpcore.AsyncConnectionPool,
     exchange: Exchange,
     connect_s: float,
     answer_s: float,
 ) -> Result[httpcore.Response, Fault]:
-    """Send a request and wait for the head of its answer.
+    """Send a request and wait for the headers of its answer.
 
-    The answer is closed when the stack is; an answer that was not read to its
-    end takes its connection with it.
+    The answer is closed with the stack.  If it was not read to its end, its
+    connection is closed too.
     """
     timeouts = {"connect": connect_s, "pool": connect_s, "write": answer_s}
     with trio.move_on_after(answer_s):
@@ -114,7 +114,9 @@
         except (httpcore.ConnectError, httpcore.ConnectTimeout) as error:
             return Error(_not_run(ResultCode.CONNECT_FAILED, str(error)))
         except httpcore.PoolTimeout:
-            return Error(_not_run(ResultCode.CONNECT_FAILED, "no free connection"))
+            return Error(
+                _not_run(ResultCode.CONNECT_FAILED, "no free connection in the pool")
+            )
         except (httpcore.LocalProtocolError, httpcore.UnsupportedProtocol) as error:
             return Error(_not_run(ResultCode.BAD_HEADER, str(error)))
         except (httpcore.NetworkError, httpcore.TimeoutException) as error:
@@ -125,7 +127,7 @@
     return Error(fault(ResultCode.STREAM_SILENT, f"no answer within {answer_s} s"))
 
 
-async def read_whole(
+async def read_answer_body(
     response: httpcore.Response, max_bytes: int
 ) -> Result[bytes, Fault]:
     """Read an answer's body, up to a number of bytes."""
@@ -135,7 +137,7 @@
         async for chunk in response.aiter_stream():
             size += len(chunk)
             if size > max_bytes:
-                detail = f"answer is over {max_bytes} bytes"
+                detail = f"answer is larger than {max_bytes} bytes"
                 return Error(fault(ResultCode.ANSWER_TOO_LARGE, detail))
             chunks.append(chunk)
     except httpcore.NetworkError as error:
@@ -146,7 +148,7 @@
 
 
 def header_of(response: httpcore.Response, name: bytes) -> bytes:
-    """Return a header's value, or nothing; the name is in lower case."""
+    """Return a header's value, or empty bytes; the name is in lower case."""
     for key, value in response.headers:
         if key.lower() == name:
             return value
@@ -154,10 +156,10 @@
 
 
 def broken_answer(error: httpcore.RemoteProtocolError) -> Fault:
-    """Tell a connection that was cut from an answer that is no HTTP.
+    """Distinguish a lost connection from an answer that is not HTTP.
 
-    h11 words both as protocol errors; only the first is worth another try at
-    the same target.
+    h11 reports both as protocol errors.  Only the first justifies a retry at the
+    same target.
     """
     text = str(error)
     if "disconnected" in text or "closed" in text or "incomplete" in text:
--- a/radishfield/edges/_target_protocols.py
+++ b/radishfield/edges/_target_protocols.py
@@ -1,4 +1,4 @@
-"""Engine protocols by name, so that another one is one module and one line."""
+"""Registry of engine protocols by name; a new one takes one module and one line."""
 
 from collections.abc import Callable
 
@@ -14,7 +14,7 @@
 
 
 def register_protocol(name: str, factory: TargetFactory) -> None:
-    """Add a protocol; a second one of the same name is a defect."""
+    """Register a protocol; raise `ValueError` if its name is already registered."""
     if name in _factories_by_protocol:
         raise ValueError(f"protocol {name!r} is already registered")
     _factories_by_protocol[name] = factory
@@ -23,7 +23,7 @@
 def targets_for(
     protocol: str, timeouts: TargetTimeouts, clock: Clock
 ) -> Result[TargetPort, Fault]:
-    """Return the port that speaks the protocol named in the settings."""
+    """Return the port for the protocol named in the settings."""
     factory = _factories_by_protocol.get(protocol)
     if factory is None:
         known = ", ".join(sorted(_factories_by_protocol))
--- a/radishfield/edges/_target_stream.py
+++ b/radishfield/edges/_target_stream.py
@@ -1,4 +1,4 @@
-"""One attempt's tokens, a line of JSON each, as an engine sends them."""
+"""Reader of one attempt's tokens, which an engine sends as lines of JSON."""
 
 from collections import deque
 from collections.abc import Sequence
@@ -13,12 +13,12 @@
 from radishfield.edges._target_http import TargetTimeouts, broken_answer
 from radishfield.edges._target_wire import ErrorLine
 
-# A token's line holds its text and a hop for each stage, some 100 bytes each.
-# Without the bound, an engine that sends no line end fills the host's memory.
+# A token's line holds its text and a hop for each stage, about 100 bytes each.
+# Without this limit, an engine that sends no newline would fill the host's memory.
 MAX_LINE_BYTES = 64 * 1024
 
-_TOKENS = msgspec.json.Decoder(Token)
-_ERRORS = msgspec.json.Decoder(ErrorLine)
+_TOKEN_DECODER = msgspec.json.Decoder(Token)
+_ERROR_LINE_DECODER = msgspec.json.Decoder(ErrorLine)
 _STREAM_ERROR_CODES = frozenset(
     {
         ResultCode.STAGE_FAILED,
@@ -30,13 +30,20 @@
 
 
 class TokenLines:
-    """A `TokenStream` over an HTTP answer."""
+    """A `TokenStream` that reads an HTTP answer."""
 
-    __slots__ = ("_chunks", "_rest", "_ready", "_problem", "_timeouts", "_limit_s")
+    __slots__ = (
+        "_chunks",
+        "_partial_line",
+        "_ready",
+        "_problem",
+        "_timeouts",
+        "_limit_s",
+    )
 
     def __init__(self, response: httpcore.Response, timeouts: TargetTimeouts):
         self._chunks = response.aiter_stream()
-        self._rest = b""
+        self._partial_line = b""
         self._ready: deque[Token] = deque()
         self._problem: Fault | None = None
         self._timeouts = timeouts
@@ -51,7 +58,7 @@
         return Error(self._problem)
 
     async def next_tokens(self) -> Result[Sequence[Token], Fault]:
-        """Return every token that is ready now, at least one, in order."""
+        """Wait for at least one token and return all that are ready, in order."""
         if not self._ready:
             await self._fill()
         if self._ready:
@@ -65,9 +72,9 @@
             while not self._ready and self._problem is None:
                 chunk = await self._read_chunk()
                 if chunk:
-                    self._take(chunk)
+                    self._parse_chunk(chunk)
             return
-        detail = f"no token for {self._limit_s} s"
+        detail = f"no token within {self._limit_s} s"
         self._problem = fault(ResultCode.STREAM_SILENT, detail)
 
     async def _read_chunk(self) -> bytes:
@@ -83,29 +90,29 @@
             self._problem = broken_answer(error)
         return b""
 
-    def _take(self, chunk: bytes) -> None:
-        lines = (self._rest + chunk).split(b"\n")
-        self._rest = lines.pop()
+    def _parse_chunk(self, chunk: bytes) -> None:
+        lines = (self._partial_line + chunk).split(b"\n")
+        self._partial_line = lines.pop()
         for line in lines:
             if self._problem is None:
-                self._take_line(line)
-        if len(self._rest) > MAX_LINE_BYTES and self._problem is None:
+                self._parse_line(line)
+        if len(self._partial_line) > MAX_LINE_BYTES and self._problem is None:
             self._problem = _malformed("line is too long")
 
-    def _take_line(self, line: bytes) -> None:
+    def _parse_line(self, line: bytes) -> None:
         if len(line) > MAX_LINE_BYTES:
             self._problem = _malformed("line is too long")
             return
         try:
-            self._ready.append(_TOKENS.decode(line))
+            self._ready.append(_TOKEN_DECODER.decode(line))
             self._limit_s = self._timeouts.idle_s
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-            self._problem = _problem_in(line)
+            self._problem = _parse_error_line(line)
 
 
-def _problem_in(line: bytes) -> Fault:
+def _parse_error_line(line: bytes) -> Fault:
     try:
-        problem = _ERRORS.decode(line)
+        problem = _ERROR_LINE_DECODER.decode(line)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         return _malformed(str(error))
     code = ResultCode.TARGET_ERROR
--- a/radishfield/edges/_target_wire.py
+++ b/radishfield/edges/_target_wire.py
@@ -1,7 +1,7 @@
-"""Messages of the engine's HTTP protocol, beside those that core defines.
+"""Messages of the engine's HTTP protocol, in addition to those in core.
 
-Both the targets' edge and the engine stand-in import these, so that neither
-spells a path or a field by itself.
+Both the client of targets and the engine stand-in import these, so that neither
+duplicates a path or a field.
 """
 
 from dataclasses import dataclass
@@ -17,13 +17,13 @@
 KV_PATH = "/engine/v1/kv"
 STEP_PATH = "/engine/v1/step"
 
-# An engine that refuses before it starts says so; without this header a refusal
-# proves nothing, because it may come from something between the two ends.
+# An engine sets this header when it refuses a request before it starts.  A refusal
+# without it proves nothing, because it may come from an intermediary.
 NOT_STARTED_HEADER = b"x-not-started"
 
-# The engine repeats this header of the request in its answer.  Bytes left over
+# The engine copies this header of the request into its answer.  Bytes left over
 # from an earlier answer on a pooled connection parse as a valid answer to the
-# next request; they carry the earlier number, so they are told apart.
+# next request, but they carry the earlier number and are rejected.
 EXCHANGE_HEADER = b"x-exchange"
 
 
@@ -36,7 +36,7 @@
     error_code : int
         A `ResultCode` number.
     target_id : str
-        The stage at fault; empty where it is not known.
+        The stage at fault; empty if it is not known.
     """
 
     error_code: int
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reopen:
-    """Asks for an attempt's tokens from a position on."""
+    """Request for an attempt's tokens from a position on."""
 
     request_id: str
     attempt: int
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Asks an engine to forget a request's attempts up to this one."""
+    """Request to cancel and forget a request's attempts up to this one."""
 
     request_id: str
     attempt: int
@@ -73,30 +73,30 @@
 
 @dataclass(slots=True, frozen=True)
 class CacheEvents:
-    """Cache events above the sequence number that was asked for."""
+    """Cache events above the requested sequence number."""
 
     events: tuple[CacheEvent, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class OrderDone:
-    """An order was carried out under this fencing number."""
+    """Confirmation that an order was carried out under this fencing number."""
 
     fencing: int
 
 
 @dataclass(slots=True, frozen=True)
 class Step:
-    """One token's step as it is handed from stage to stage.
+    """One token's step as it is passed from stage to stage.
 
     Attributes
     ----------
     index : int
         The stage of the route that is to run next.
     hidden : str
-        What the layers so far made of the token; the engine's own matter.
+        Output of the layers so far; its format is the engine's own.
     prefix_tokens : int
-        Tokens before this one in the attempt's first step, where a stage has
+        Tokens before this one in the attempt's first step, in which a stage has
         to build its cache; 0 in all later steps.
     hand_on : bool
         Whether a stage calls its successor itself; otherwise each stage is
--- a/radishfield/edges/peer.capnp
+++ b/radishfield/edges/peer.capnp
@@ -1,6 +1,7 @@
 @0xd2a6b8e17f40c935;
 # Frames between entry hosts.  A datagram carries one Frame; a connection
-# carries Question and Answer in turn.  Fields are only ever added, at the end.
+# carries Question and Answer alternately.  Fields are never changed or removed, and new
+# ones are added at the end.
 
 enum State {
   live @0;
@@ -26,7 +27,7 @@
   digest @3 :UInt64;
   updates @4 :List(Update);
   number @5 :UInt64;
-  # Of the probe that this frame makes, answers or asks another host to make.
+  # Number of the probe that this frame sends, answers or requests of another host.
   body :union {
     ping @6 :Void;
     ack @7 :Void;
@@ -54,7 +55,7 @@
   number @0 :UInt64;
   payload @1 :Data;
   faultCode @2 :UInt16;
-  # 0 where the question was answered.
+  # 0 if the request was answered.
   faultDetail @3 :Text;
   retryAfterMs @4 :UInt32;
 }
