--- a/radishfield/edges/peer_test.py
+++ b/radishfield/edges/peer_test.py
@@ -24,7 +24,7 @@
     trio.run(main, *args, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def host(network, number, keys=(OLD_KEY,), zones=3, incarnation=1):
+def make_host(network, number, keys=(OLD_KEY,), zones=3, incarnation=1):
     settings = PeerSettings(
         f"h{number}",
         f"z{number % zones}",
@@ -41,22 +41,22 @@
     )
 
 
-async def start(nursery, network, count, **options):
-    hosts = [host(network, number, **options) for number in range(count)]
-    for a_host in hosts:
-        await nursery.start(a_host.run)
+async def start_hosts(nursery, network, count, **options):
+    hosts = [make_host(network, number, **options) for number in range(count)]
+    for host in hosts:
+        await nursery.start(host.run)
     return hosts
 
 
-def live_at(a_host):
+def live_member_ids(host):
     return {
         member.id
-        for member in a_host.members()
+        for member in host.members()
         if member.state in (MemberState.LIVE, MemberState.SUSPECT)
     }
 
 
-def frame_of(body, sequence=1, **fields):
+def make_frame(body, sequence=1, **fields):
     sender = Update("h9", "z0", "h9:1", 7)
     return frames.Frame(sender, sequence, 5, 6, body, **fields)
 
@@ -70,24 +70,24 @@
         frames.News("t", b"\0p"),
     ],
 )
-def test_frames_pass_whole(body):
+def test_frames_round_trip(body):
     suspect = Update("h1", "z", "a:1", 3, 2, MemberState.SUSPECT, "h2")
-    frame = frame_of(body, updates=(suspect,))
+    frame = make_frame(body, updates=(suspect,))
     assert frames.decode_frame(frames.encode_frame(frame)).ok == frame
 
 
-def test_bad_frames_are_values_and_other_versions_are_refused():
-    garbage = random.Random(3)
+def test_bad_frames_and_unknown_schema_versions_return_errors():
+    rng = random.Random(3)
     for length in (0, 1, 7, 60, 1_300):
-        data = garbage.randbytes(length)
+        data = rng.randbytes(length)
         assert frames.decode_frame(data).error.code is ResultCode.BAD_FRAME
-    good = frames.encode_frame(frame_of(frames.Ping()))
+    good = frames.encode_frame(make_frame(frames.Ping()))
     assert frames.decode_frame(good[: len(good) // 2]).is_error()
     message = frames._schema.Frame.new_message(schemaVersion=99).to_bytes_packed()
     assert frames.decode_frame(message).error.code is ResultCode.SCHEMA_VERSION
 
 
-def test_keys_rotate_without_a_moment_of_distrust():
+def test_key_rotation_accepts_frames_at_each_step():
     first, second = Sealer([OLD_KEY, NEW_KEY]), Sealer([NEW_KEY, OLD_KEY])
     assert first.unseal(second.seal(b"f", b""), b"").ok == b"f"
     assert second.unseal(first.seal(b"f", b""), b"").ok == b"f"
@@ -101,7 +101,7 @@
         Sealer([OLD_KEY, PeerKey(OLD_KEY.id, NEW_KEY.secret)])
 
 
-def test_replay_guard_takes_each_frame_once_also_out_of_order():
+def test_replay_guard_accepts_each_frame_once_even_out_of_order():
     guard = ReplayGuard()
     assert guard.accept("h", 1, 10) and guard.accept("h", 1, 8)
     assert not guard.accept("h", 1, 10) and not guard.accept("h", 1, 8)
@@ -109,106 +109,108 @@
     assert guard.accept("h", 2, 1) and not guard.accept("h", 1, 6_000)
 
 
-def test_hosts_find_each_other_and_a_dead_one_is_declared_dead():
+def test_hosts_discover_each_other_and_a_dead_one_is_declared_dead():
     async def main():
         network = MemoryNetwork()
         async with trio.open_nursery() as nursery:
-            hosts = await start(nursery, network, 9)
+            hosts = await start_hosts(nursery, network, 9)
             await trio.sleep(10)
-            assert all(len(live_at(a_host)) == 9 for a_host in hosts)
+            assert all(len(live_member_ids(host)) == 9 for host in hosts)
             network.faults.silent.add("h4:1")
             await trio.sleep(15)
-            others = [a_host for a_host in hosts if a_host is not hosts[4]]
-            assert all("h4" not in live_at(a_host) for a_host in others)
-            assert sum(len(live_at(a_host)) for a_host in others) == 64
+            others = [host for host in hosts if host is not hosts[4]]
+            assert all("h4" not in live_member_ids(host) for host in others)
+            assert sum(len(live_member_ids(host)) for host in others) == 64
             nursery.cancel_scope.cancel()
 
     run(main)
 
 
-def test_hosts_that_find_a_late_seed_know_it_within_a_second():
-    """A repeat at a host is asked about at the host of its first copy, soon.
+def test_hosts_discover_a_seed_that_starts_late_within_a_second():
+    """Two hosts start and find each other; the seed of both starts 0.8 s later.
 
-    Two hosts start and find each other; the seed of both starts 0.8 s later.
-    A seed tried once in five seconds would leave it a stranger to both for so
-    long, in which all three serve.
+    With one probe of a missing seed in five seconds, all three would serve for that
+    long while the seed is unknown to both, and a retry at one host could not learn
+    the outcome of its first attempt at another.
     """
 
     async def main():
         network = MemoryNetwork()
         async with trio.open_nursery() as nursery:
-            first, second = (host(network, number) for number in (1, 2))
+            first, second = (make_host(network, number) for number in (1, 2))
             first._prober.add_seeds(["h2:1"])
-            for a_host in (first, second):
-                await nursery.start(a_host.run)
+            for host in (first, second):
+                await nursery.start(host.run)
             await trio.sleep(0.8)
-            assert live_at(first) >= {"h1", "h2"}
-            late = host(network, 0)
+            assert live_member_ids(first) >= {"h1", "h2"}
+            late = make_host(network, 0)
             await nursery.start(late.run)
             await trio.sleep(1.0)
-            for a_host in (first, second, late):
-                assert live_at(a_host) == {"h0", "h1", "h2"}
+            for host in (first, second, late):
+                assert live_member_ids(host) == {"h0", "h1", "h2"}
             nursery.cancel_scope.cancel()
 
     run(main)
 
 
-def test_slow_member_and_lost_datagrams_kill_nobody():
+def test_slow_member_and_lost_datagrams_declare_no_member_dead():
     """One host answers 0.4 s late and a tenth of all datagrams is lost.
 
-    The late host misses the direct answer and often the helpers' too.  It must
-    stay a member all the same: its duties would otherwise move and come back.
+    The slow host exceeds the timeout of direct probes and often that of the
+    helpers too.  It must remain a live member, or its duties move away and back.
     """
 
     async def main():
         network = MemoryNetwork()
         async with trio.open_nursery() as nursery:
-            hosts = await start(nursery, network, 9)
+            hosts = await start_hosts(nursery, network, 9)
             await trio.sleep(10)
             network.faults.lost_share = 0.1
             network.faults.lag_s_by_address["h4:1"] = 0.4
             for _ in range(60):
                 await trio.sleep(1)
-                assert all(len(live_at(a_host)) == 9 for a_host in hosts)
+                assert all(len(live_member_ids(host)) == 9 for host in hosts)
             nursery.cancel_scope.cancel()
 
     run(main)
 
 
 def test_partition_heals_without_new_incarnations():
-    """A zone is cut off until both sides hold each other dead; then it heals."""
+    """A zone is partitioned until each side declares the other dead, then it heals."""
 
     async def main():
         network = MemoryNetwork()
         async with trio.open_nursery() as nursery:
-            hosts = await start(nursery, network, 9)
+            hosts = await start_hosts(nursery, network, 9)
             await trio.sleep(10)
-            cut = {"h0:1", "h3:1", "h6:1"}
-            network.faults.is_cut = lambda one, other: (one in cut) != (other in cut)
+            partitioned = {"h0:1", "h3:1", "h6:1"}
+            network.faults.is_cut = lambda one, other: (one in partitioned) != (
+                other in partitioned
+            )
             await trio.sleep(30)
-            assert live_at(hosts[0]) == {"h0", "h3", "h6"}
-            assert len(live_at(hosts[1])) == 6
+            assert live_member_ids(hosts[0]) == {"h0", "h3", "h6"}
+            assert len(live_member_ids(hosts[1])) == 6
             network.faults.is_cut = lambda one, other: False
             await trio.sleep(30)
-            assert all(len(live_at(a_host)) == 9 for a_host in hosts)
+            assert all(len(live_member_ids(host)) == 9 for host in hosts)
             assert {member.incarnation for member in hosts[0].members()} == {1}
             nursery.cancel_scope.cancel()
 
     run(main)
 
 
-def test_stranger_forged_replayed_and_oversized_frames_are_counted_and_dropped():
-    """A stranger sends frames of all bad kinds, and replays a real one.
+def test_garbled_forged_replayed_and_oversized_frames_are_counted_and_dropped():
+    """An outsider sends each kind of bad frame, and replays a valid one.
 
-    None may change the membership, and each is counted by its reason.
+    No bad frame may change the membership, and each is counted by result code.
     """
 
     async def main():
         network = MemoryNetwork()
-        stranger = network.transport("evil:1")
+        outsider = network.transport("evil:1")
         async with trio.open_nursery() as nursery:
-            (target,) = await start(nursery, network, 1)
-            forged = frames.encode_frame(frame_of(frames.Ping()))
+            (target,) = await start_hosts(nursery, network, 1)
+            forged = frames.encode_frame(make_frame(frames.Ping()))
             wrong = Sealer([PeerKey(1, b"another secret, 16+")])
             real = Sealer([OLD_KEY]).seal(forged, DATAGRAM_CONTEXT)
             for data in (
@@ -219,7 +221,7 @@
                 real,
                 real,
             ):
-                await stranger.send(data, "h0:1")
+                await outsider.send(data, "h0:1")
             await trio.sleep(1)
             nursery.cancel_scope.cancel()
         assert [member.id for member in target.members()] == ["h0", "h9"]
@@ -233,17 +235,17 @@
     run(main)
 
 
-def test_long_names_do_not_make_a_heartbeat_too_large_to_send():
-    """All names are as long as settings allow, and there is news of many hosts.
+def test_heartbeats_with_updates_of_long_names_fit_a_datagram():
+    """All names have the maximum length, and there are updates on many hosts.
 
-    A heartbeat with six updates would not fit a datagram; left unsent, the host
-    would fall silent and be held for dead.
+    A heartbeat with six such updates exceeds a datagram.  If it were not sent, the
+    host would be without heartbeats and declared dead.
     """
 
     async def main():
         network = MemoryNetwork()
         async with trio.open_nursery() as nursery:
-            (target,) = await start(nursery, network, 1)
+            (target,) = await start_hosts(nursery, network, 1)
             for number in range(20):
                 name = f"{number:063}"
                 update = Update(name, "z" * 63, "255.255.255.255:65535", 1)
@@ -257,17 +259,17 @@
     run(main)
 
 
-def test_question_passes_and_a_silent_kept_connection_is_replaced():
-    """A kept connection goes silent for good while new ones work.
+def test_request_is_answered_and_a_stalled_kept_connection_is_replaced():
+    """A kept connection stalls permanently while new ones work.
 
-    The question gets half of its time on the kept connection, then a new one;
-    the asking side sees an answer and not a peer that is gone.
+    The request gets half of its time on the kept connection, then a new one.  The
+    requesting host gets an answer instead of ``PEER_UNREACHABLE``.
     """
 
     async def main():
         network = MemoryNetwork()
         async with trio.open_nursery() as nursery:
-            hosts = await start(nursery, network, 3)
+            hosts = await start_hosts(nursery, network, 3)
             await trio.sleep(5)
 
             async def double(sender, payload):
--- a/radishfield/edges/platform_test.py
+++ b/radishfield/edges/platform_test.py
@@ -29,7 +29,7 @@
     trio.run(run)
 
 
-def test_objects_hosts_and_watch_pass_over_http():
+def test_objects_hosts_and_watch_work_over_http():
     async def main(platform, fake):
         value = random.Random(1).randbytes(1 << 20)
         assert (await platform.write("profile", "a b/c", value, 0)).ok.version == 1
@@ -52,12 +52,11 @@
     with_platform(main)
 
 
-def test_lost_answer_is_ambiguous_and_is_not_sent_again():
+def test_write_with_lost_answer_is_ambiguous_and_is_not_retried():
     """A write takes effect and the connection closes before its answer.
 
-    The caller must hear that the effect is not known.  Sending the write again
-    from here would turn its own first try into a conflict that looks like
-    another operator's.
+    The caller must learn that the outcome is unknown.  A retry by the client would
+    conflict with its own first attempt, as if another operator had written.
     """
 
     async def main(platform, fake):
@@ -70,10 +69,11 @@
     with_platform(main)
 
 
-def test_outage_is_retried_within_the_budget_and_a_slow_answer_is_given_up():
+def test_outage_is_retried_within_the_budget_and_a_slow_answer_times_out():
     """The platform is down, then slow: reads fail in bounded time and calls.
 
-    A refused write had no effect and says so; a write that timed out may have.
+    A refused write is reported to have had no effect.  The outcome of a write that
+    timed out is unknown.
     """
 
     async def main(platform, fake):
@@ -105,7 +105,7 @@
     assert 0 < min(waits) and max(waits) <= 5.0
 
 
-def test_control_routes_turn_switches_and_give_counts():
+def test_control_routes_set_faults_and_return_call_counts():
     async def main(platform, fake):
         app = PlatformApp(fake)
         change = FaultChange(down=True, cut_off={"host-2"})
--- a/radishfield/edges/target_test.py
+++ b/radishfield/edges/target_test.py
@@ -1,4 +1,4 @@
-"""Tests of what each failure of a target proves about a request."""
+"""Tests of the outcome that each failure of a target proves for a request."""
 
 import socket
 from contextlib import ExitStack, asynccontextmanager
@@ -30,8 +30,8 @@
 from radishfield.edges import _target_stream as stream_module
 from radishfield.edges._target_stream import TokenLines
 
-QUICK = TargetTimeouts(first_token_s=0.2, idle_s=0.1, control_s=0.3)
-START = StreamStart("r", 1, Route(()), "hello", (), 4, 5.0)
+SHORT_TIMEOUTS = TargetTimeouts(first_token_s=0.2, idle_s=0.1, control_s=0.3)
+STREAM_START = StreamStart("r", 1, Route(()), "hello", (), 4, 5.0)
 ORDER = TargetOrder("load-layers", "", 7, 1.0)
 
 
@@ -56,7 +56,7 @@
     )
 
 
-class Scripted:
+class ScriptedServer:
     """A TCP server that answers each request with the next scripted bytes."""
 
     __slots__ = ("answers", "requests", "hold", "target")
@@ -82,16 +82,16 @@
 async def _read_request(stream):
     data = b""
     while b"\r\n\r\n" not in data:
-        more = await stream.receive_some()
-        if not more:
+        chunk = await stream.receive_some()
+        if not chunk:
             return b""
-        data += more
+        data += chunk
     return data
 
 
 @asynccontextmanager
-async def scripted(*answers, hold=False):
-    server = Scripted(answers, hold)
+async def scripted_server(*answers, hold=False):
+    server = ScriptedServer(answers, hold)
     async with trio.open_nursery() as nursery:
         listeners = await nursery.start(
             lambda task_status: trio.serve_tcp(
@@ -105,32 +105,32 @@
 
 
 async def read_all(targets, target):
-    """Return the texts, and the fault that ended the stream if one did."""
-    texts = []
-    async with targets.open_stream(target, START) as opened:
+    """Return the token positions, and the fault that ended the stream, if any."""
+    positions = []
+    async with targets.open_stream(target, STREAM_START) as opened:
         if opened.is_error():
-            return texts, opened.error
+            return positions, opened.error
         while True:
             match await opened.ok.next_token():
                 case Result(tag="error", error=problem):
-                    return texts, problem
+                    return positions, problem
                 case Result(tag="ok", ok=token):
-                    texts.append(token.position)
+                    positions.append(token.position)
                     if token.finish:
-                        return texts, None
+                        return positions, None
 
 
 def run_stream(*answers, hold=False):
     async def main():
-        async with scripted(*answers, hold=hold) as server:
-            targets = EngineTargets(QUICK)
-            texts, problem = await read_all(targets, server.target)
-            return texts, problem, len(server.requests)
+        async with scripted_server(*answers, hold=hold) as server:
+            targets = EngineTargets(SHORT_TIMEOUTS)
+            positions, problem = await read_all(targets, server.target)
+            return positions, problem, len(server.requests)
 
     return trio.run(main)
 
 
-def test_a_whole_stream_is_read_to_its_last_token():
+def test_a_complete_stream_is_read_to_its_last_token():
     answer = head(200, "transfer-encoding: chunked") + chunked(
         token_line(0) + token_line(1)[:9], token_line(1)[9:], token_line(2, "stop")
     )
@@ -145,9 +145,9 @@
 @pytest.mark.parametrize(
     ("answer", "hold", "positions", "code", "outcome"),
     [
-        # The connection closes where the answer should begin.
+        # The connection closes before the answer starts.
         (b"", False, [], ResultCode.STREAM_BROKEN, Outcome.UNKNOWN),
-        # The body ends in order, but without a last token.
+        # The body ends properly, but without a last token.
         (
             head(200, CHUNKED) + chunked(token_line(0)),
             False,
@@ -155,7 +155,7 @@
             ResultCode.ANSWER_TRUNCATED,
             Outcome.UNKNOWN,
         ),
-        # The connection is cut within the body.
+        # The connection closes within the body.
         (
             head(200, CHUNKED) + chunked(token_line(0), end=False),
             False,
@@ -163,7 +163,7 @@
             ResultCode.STREAM_BROKEN,
             Outcome.UNKNOWN,
         ),
-        # The connection stays open and goes silent after a token.
+        # The connection stays open but stalls after a token.
         (
             head(200, CHUNKED) + chunked(token_line(0), end=False),
             True,
@@ -193,7 +193,7 @@
             ResultCode.TARGET_REFUSED,
             Outcome.NOT_RUN,
         ),
-        # A refusal without the target's own word proves nothing.
+        # A refusal without the target's own "not started" header proves nothing.
         (sized(b"{}", 503), False, [], ResultCode.TARGET_ERROR, Outcome.UNKNOWN),
         (sized(b"{}", 500), False, [], ResultCode.TARGET_ERROR, Outcome.UNKNOWN),
         (
@@ -208,10 +208,10 @@
 def test_each_failure_of_a_stream_has_its_code_and_is_sent_once(
     answer, hold, positions, code, outcome
 ):
-    """The caller sees a numbered failure whose outcome is true.
+    """The caller gets a result code with the correct outcome.
 
-    The engine fails in one way after the request was handed over.  Only its
-    own refusal before the start is "not run", and nothing is sent twice.
+    The engine fails in one way after the request was sent.  Only its own refusal
+    before the start is "not run", and nothing is sent twice.
     """
     seen, problem, requests = run_stream(answer, hold=hold)
     assert (seen, problem.code, problem.outcome) == (positions, code, outcome)
@@ -220,15 +220,15 @@
 
 def test_an_error_line_names_the_stage_at_fault_after_the_good_tokens():
     answer = head(200, CHUNKED) + chunked(token_line(0) + ERROR_LINE)
-    texts, problem, _ = run_stream(answer)
-    assert texts == [0]
+    positions, problem, _ = run_stream(answer)
+    assert positions == [0]
     assert (problem.code, problem.target_id) == (ResultCode.STAGE_FAILED, "e2")
 
 
-def test_nothing_listening_is_not_run_but_unknown_for_an_attempt_that_ran():
+def test_refused_connection_is_not_run_but_unknown_for_a_reopened_attempt():
     async def main():
         target = Target("e", "h", "z", "127.0.0.1:1")
-        targets = EngineTargets(QUICK)
+        targets = EngineTargets(SHORT_TIMEOUTS)
         _, problem = await read_all(targets, target)
         assert problem.code == ResultCode.CONNECT_FAILED
         assert problem.outcome == Outcome.NOT_RUN
@@ -238,25 +238,25 @@
     trio.run(main)
 
 
-def test_a_target_that_takes_no_new_connection_is_silent_not_gone():
-    """The caller's attempt is not held to be over while its target is held up.
+def test_connection_time_out_on_reopen_is_silence_and_not_a_refusal():
+    """An attempt does not count as ended while its target is only stalled.
 
-    The target's queue of connections is full, as when it stands still or when
-    this host's link is taken.  Nothing refuses the new connection, so nothing
-    proves that the attempt has ended.
+    The target's queue of connections is full, as when the target is stopped or this
+    host's link is down.  The new connection is not refused, so nothing proves that
+    the attempt has ended.
     """
 
     async def main():
-        with socket.socket() as listening, ExitStack() as stack:
-            listening.bind(("127.0.0.1", 0))
-            listening.listen(0)
+        with socket.socket() as listener, ExitStack() as stack:
+            listener.bind(("127.0.0.1", 0))
+            listener.listen(0)
             for _ in range(4):
-                waiting = stack.enter_context(socket.socket())
-                waiting.setblocking(False)
-                waiting.connect_ex(listening.getsockname())
-            port = listening.getsockname()[1]
+                backlog_socket = stack.enter_context(socket.socket())
+                backlog_socket.setblocking(False)
+                backlog_socket.connect_ex(listener.getsockname())
+            port = listener.getsockname()[1]
             target = Target("e", "h", "z", f"127.0.0.1:{port}")
-            targets = EngineTargets(replace(QUICK, connect_s=0.1))
+            targets = EngineTargets(replace(SHORT_TIMEOUTS, connect_s=0.1))
             async with targets.reopen_stream(target, "r", 1, 3) as opened:
                 assert opened.error.code == ResultCode.STREAM_SILENT
                 assert opened.error.outcome == Outcome.UNKNOWN
@@ -264,11 +264,11 @@
     trio.run(main)
 
 
-def test_a_slow_prefill_is_not_taken_for_silence():
-    """The caller gets the answer though the first token takes its time.
+def test_slow_prefill_does_not_count_as_a_stalled_stream():
+    """The caller gets the answer although the first token is slow.
 
-    The engine sends its answer's head at once and the first token after longer
-    than the limit between tokens, because it first reads the whole prompt.
+    The engine sends the headers at once and the first token later than the limit
+    between tokens, because it first processes the complete prompt.
     """
 
     async def slow(stream):
@@ -289,19 +289,19 @@
     trio.run(main)
 
 
-def test_bytes_left_over_from_an_earlier_answer_are_not_taken_for_the_next():
-    """An order is not believed done because of an earlier order's answer.
+def test_bytes_left_over_from_an_earlier_answer_are_rejected():
+    """An order does not count as done because of an earlier order's answer.
 
-    The engine sends its answer twice on one pooled connection.  The second
-    copy waits in the parser and would answer the next order, which the engine
-    then refuses unheard.
+    The engine sends its answer twice on one pooled connection.  The second copy
+    stays in the parser and would answer the next order, which the engine refuses;
+    that refusal would go unread.
     """
     done = sized(b'{"fencing":7}')
     refused = sized(b'{"error_code":7008}', 409, exchange=2)
 
     async def main():
-        async with scripted(done + done, refused, refused) as server:
-            targets = EngineTargets(QUICK)
+        async with scripted_server(done + done, refused, refused) as server:
+            targets = EngineTargets(SHORT_TIMEOUTS)
             first = await targets.order(server.target, ORDER)
             second = await targets.order(server.target, ORDER)
             assert first.is_ok()
@@ -312,8 +312,8 @@
 
 def test_an_order_with_an_old_fencing_number_is_refused_by_its_code():
     async def main():
-        async with scripted(sized(b'{"error_code":7008}', 409)) as server:
-            refused = await EngineTargets(QUICK).order(server.target, ORDER)
+        async with scripted_server(sized(b'{"error_code":7008}', 409)) as server:
+            refused = await EngineTargets(SHORT_TIMEOUTS).order(server.target, ORDER)
             assert refused.error.code == ResultCode.ORDER_FENCED
 
     trio.run(main)
@@ -328,15 +328,15 @@
 
 def run_call(*answers, hold=False, budget_s=1.0, headers=(), path="/lookup"):
     async def main():
-        async with scripted(*answers, hold=hold) as server:
+        async with scripted_server(*answers, hold=hold) as server:
             request = service_request(trio.current_time() + budget_s, headers, path)
-            targets = EngineTargets(QUICK, TrioClock())
+            targets = EngineTargets(SHORT_TIMEOUTS, TrioClock())
             return await targets.call(server.target, request), server.requests
 
     return trio.run(main)
 
 
-def test_a_call_passes_safe_headers_and_not_the_callers_credentials():
+def test_a_call_forwards_safe_headers_but_not_the_callers_credentials():
     headers = (
         ("Authorization", "Bearer secret"),
         ("accept", "text/plain"),
@@ -379,10 +379,10 @@
 def test_each_failure_of_a_call_has_its_code_and_is_sent_at_most_once(
     answers, settings_, code, outcome
 ):
-    """The caller of a call that may not be repeated can trust "not run".
+    """The caller of a call that may not be retried can rely on "not run".
 
-    The service fails before, while or after it takes the call.  Whatever may
-    have reached it is unknown, and nothing is sent a second time.
+    The service fails before, while or after it accepts the call.  The outcome of a
+    call that may have reached it is unknown, and nothing is sent a second time.
     """
     answer, requests = run_call(*answers, **{"budget_s": 0.3, **settings_})
     assert (answer.error.code, answer.error.outcome) == (code, outcome)
@@ -390,9 +390,12 @@
 
 
 def test_protocols_are_found_by_name():
-    port = targets_for("lines-http", QUICK, TrioClock())
+    port = targets_for("lines-http", SHORT_TIMEOUTS, TrioClock())
     assert isinstance(port.ok, EngineTargets)
-    assert targets_for("x", QUICK, TrioClock()).error.code == ResultCode.SETTING_RANGE
+    assert (
+        targets_for("x", SHORT_TIMEOUTS, TrioClock()).error.code
+        == ResultCode.SETTING_RANGE
+    )
 
 
 class FakeResponse:
@@ -412,19 +415,21 @@
     st.integers(0, 400),
     st.binary(max_size=80),
 )
-def test_garbage_after_good_tokens_never_adds_a_token_nor_finishes(cuts, at, garbage):
-    """However an engine's bytes are cut or spoilt, good tokens stay good.
+def test_garbage_after_valid_tokens_neither_adds_a_token_nor_finishes(
+    chunk_sizes, good_length, garbage
+):
+    """Valid tokens are kept however the engine's bytes are split or corrupted.
 
-    Two good lines and a spoilt rest come in chunks of any size.  What is read
-    is a prefix of the good tokens, then one fault, and never a whole answer.
+    Two valid lines and a corrupted rest arrive in chunks of any size.  The reader
+    yields a prefix of the valid tokens, then one fault, and never a complete answer.
     """
-    good = (token_line(0) + token_line(1))[:at]
-    data = good + b"\xff" + garbage
+    valid_bytes = (token_line(0) + token_line(1))[:good_length]
+    data = valid_bytes + b"\xff" + garbage
     chunks, rest = [], data
-    for size in cuts:
+    for size in chunk_sizes:
         chunks.append(rest[:size])
         rest = rest[size:]
-    lines = TokenLines(FakeResponse([*chunks, rest]), QUICK)
+    lines = TokenLines(FakeResponse([*chunks, rest]), SHORT_TIMEOUTS)
 
     async def main():
         positions = []
@@ -436,5 +441,5 @@
                     positions.extend(token.position for token in tokens)
 
     positions, problem = trio.run(main)
-    assert positions == [0, 1][: good.count(b"\n")]
+    assert positions == [0, 1][: valid_bytes.count(b"\n")]
     assert problem.outcome == Outcome.UNKNOWN
