--- a/radishfield/forwarding/__init__.py
+++ b/radishfield/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""The router's process: callers in, targets out, and what it follows meanwhile."""
+"""Runs a router: forwards callers' requests to targets and follows the store."""
 
 from radishfield.forwarding._router import Router, read_settings, run_router
 
--- a/radishfield/forwarding/__main__.py
+++ b/radishfield/forwarding/__main__.py
@@ -3,8 +3,8 @@
 import gc
 import sys
 
-# Nothing that is loaded is ever freed; looking for garbage among it takes a twentieth
-# of a start, in which nobody is served.
+# Imported modules are never freed; garbage collection during the imports takes 5 % of
+# the start time, in which no request is served.
 gc.disable()
 
 import click  # noqa: E402
--- a/radishfield/forwarding/_crash_gossip.py
+++ b/radishfield/forwarding/_crash_gossip.py
@@ -1,8 +1,9 @@
-"""Tells other hosts under which requests targets ended.
+"""Reports requests that crash their targets to the other hosts.
 
-News goes to every host at once: to those of the own zone, and to two of each other
-zone, which pass it on within theirs.  A host that missed some, because it slept, was
-cut off or has just started, has another checksum in its status and is told again.
+New reports go to every host at once: to those of the own zone, and to two of each
+other zone, which forward them within theirs.  A host that missed some, because it was
+suspended, was partitioned or has just started, has another checksum in its status and
+is sent the reports again.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -14,51 +15,56 @@
 from radishfield.forwarding._peers import Peer, PeerBook
 from radishfield.forwarding._view import RouterView
 
-TELL_AGAIN_S = 1.0
-"""Shortest pause between two repairs of one host: its next status shows what came."""
+RESEND_INTERVAL_S = 1.0
+"""Minimum interval between resends to one host: its next status shows what arrived."""
 
 Send = Callable[[bytes, Iterable[Peer]], None]
 
 
 class CrashGossip:
-    """Sends what this host knows, and takes in what others know."""
+    """Sends crash reports to other hosts and merges the reports received from them."""
 
-    __slots__ = ("_book", "_host_id", "_send", "_told_at_by_host", "_view")
+    __slots__ = ("_book", "_host_id", "_send", "_sent_at_by_host", "_view")
 
     def __init__(self, host_id: str, view: RouterView, book: PeerBook, send: Send):
         self._host_id = host_id
         self._view = view
         self._book = book
         self._send = send
-        self._told_at_by_host: dict[str, float] = {}
+        self._sent_at_by_host: dict[str, float] = {}
 
     async def tell_news(self) -> None:
-        """Tell all hosts what this one found, until cancelled."""
+        """Send new crash reports to all hosts until cancelled."""
         while True:
             await self._view.crash_news.wait()
             digests = self._view.crash_news.take()
-            self._tell(digests, [*self._near(), *self._book.far_watchers()])
+            self._send_reports(
+                digests, [*self._zone_peers(), *self._book.far_watchers()]
+            )
 
     def hear(self, message: PeerCrashes) -> None:
-        """Take in what another host knows, and pass it on within the zone."""
-        news = self._view.crashes.learn(message.reports, message.host_id)
-        if news and message.zone != self._view.zone:
-            self._tell(news, self._near())
+        """Merge reports of another host and forward new ones within the zone."""
+        new_digests = self._view.crashes.learn(message.reports, message.host_id)
+        if new_digests and message.zone != self._view.zone:
+            self._send_reports(new_digests, self._zone_peers())
 
     def compare(self, host_id: str, peer: Peer, checksum: int) -> None:
-        """Tell a host what it may have missed, if it knows something else."""
+        """Resend the lasting reports to a host whose status has another checksum."""
         now = self._view.clock.now()
         if checksum == self._view.crashes.book.checksum():
             return
-        if now - self._told_at_by_host.get(host_id, -TELL_AGAIN_S) < TELL_AGAIN_S:
+        if (
+            now - self._sent_at_by_host.get(host_id, -RESEND_INTERVAL_S)
+            < RESEND_INTERVAL_S
+        ):
             return
-        self._told_at_by_host[host_id] = now
-        self._tell(self._view.crashes.book.lasting(), [peer])
+        self._sent_at_by_host[host_id] = now
+        self._send_reports(self._view.crashes.book.lasting(), [peer])
 
-    def _near(self) -> list[Peer]:
+    def _zone_peers(self) -> list[Peer]:
         return self._book.present_near(self._view.clock.now())
 
-    def _tell(self, digests: Iterable[str], peers: list[Peer]) -> None:
+    def _send_reports(self, digests: Iterable[str], peers: list[Peer]) -> None:
         reports = [self._view.crashes.report(digest) for digest in digests]
         for batch in _batches(reports):
             message = PeerCrashes(self._host_id, self._view.zone, batch)
@@ -68,13 +74,13 @@
 def _batches(reports: Iterable[CrashReport]) -> Iterator[list[CrashReport]]:
     """Yield reports in batches that each fit a datagram."""
     batch: list[CrashReport] = []
-    left = NEWS_BYTES
+    free_bytes = NEWS_BYTES
     for report in reports:
         size = len(msgspec.msgpack.encode(report))
-        if size > left and batch:
+        if size > free_bytes and batch:
             yield batch
-            batch, left = [], NEWS_BYTES
+            batch, free_bytes = [], NEWS_BYTES
         batch.append(report)
-        left -= size
+        free_bytes -= size
     if batch:
         yield batch
--- a/radishfield/forwarding/_crash_records.py
+++ b/radishfield/forwarding/_crash_records.py
@@ -1,9 +1,9 @@
-"""Requests that are refused, as the platform's store keeps them.
+"""Keeps records of refused requests in the platform's store.
 
-Hosts tell each other at once what ended under which request.  The store is for those
-that can't be told: a host whose neighbours were all killed with it, and a zone that is
-cut off from the others.  It is written once a refused request and read at a start, and
-when a second target has ended under a request.
+Hosts report crashes of targets to each other at once.  The store is for hosts that no
+report reaches: a host whose neighbours were all killed with it, and a zone that is
+partitioned from the others.  It is written once per refused request and read at
+start, and when a second target has crashed under a request.
 """
 
 import time
@@ -18,40 +18,40 @@
 from radishfield.telemetry import log_event
 
 CRASHES_KIND = "radishfield-crashes"
-READ_AGAIN_S = 1.0
-"""Shortest pause between two reads: one of them shows what all hosts wrote."""
+MIN_READ_INTERVAL_S = 1.0
+"""Minimum interval between reads: one read returns what all hosts wrote."""
 
 
-class _StoredEnd(msgspec.Struct):
+class _StoredCrash(msgspec.Struct):
     target: str
     started_ms: int
     told_by: str
     unix_s: float
 
 
-class _Body(msgspec.Struct):
-    ends: list[_StoredEnd]
+class _RecordBody(msgspec.Struct):
+    ends: list[_StoredCrash]
 
 
 class CrashRecords:
-    """Writes and reads the requests that are refused."""
+    """Writes and reads the records of refused requests."""
 
     __slots__ = ("_read_at", "_store", "_view")
 
     def __init__(self, store: ObjectStore, view: RouterView):
         self._store = store
         self._view = view
-        self._read_at = -READ_AGAIN_S
+        self._read_at = -MIN_READ_INTERVAL_S
 
     async def write(self, digest: str) -> bool:
-        """Write down why a request is refused; return whether the store has it."""
+        """Record why a request is refused; return whether the store has the record."""
         report = self._view.crashes.report(digest)
         unix_s = time.time()
         ends = [
-            _StoredEnd(end.target_id, end.started_ms, end.told_by, unix_s - end.age_s)
+            _StoredCrash(end.target_id, end.started_ms, end.told_by, unix_s - end.age_s)
             for end in report.ends
         ]
-        body = msgspec.to_builtins(_Body(ends))
+        body = msgspec.to_builtins(_RecordBody(ends))
         written = await self._store.create(CRASHES_KIND, digest, body)
         if _conflicts(written):
             written = await self._replace(digest, body)
@@ -61,7 +61,7 @@
         return False
 
     async def _replace(self, digest: str, body: object) -> Result[object, Fault]:
-        """Write over what was written when the request was refused before."""
+        """Overwrite the record of an earlier refusal of the same request."""
         read = await self._store.read(CRASHES_KIND, digest)
         if read.is_error():
             return read
@@ -69,23 +69,23 @@
         return await self._store.replace(CRASHES_KIND, digest, body, revision)
 
     async def read(self) -> bool:
-        """Take in what is written; return whether the store answered."""
+        """Merge the records into the crash guard; return whether the store answered."""
         now = self._view.clock.now()
-        if now - self._read_at < READ_AGAIN_S:
+        if now - self._read_at < MIN_READ_INTERVAL_S:
             return True
         self._read_at = now
         listing = await self._store.list(CRASHES_KIND)
         if listing.is_error():
             _log_fault("crashes.unread", listing.error)
-            self._read_at = -READ_AGAIN_S
+            self._read_at = -MIN_READ_INTERVAL_S
             return False
         for value in listing.ok.values:
-            await self._take(value)
+            await self._merge_record(value)
         return True
 
-    async def _take(self, value: StoredValue) -> None:
+    async def _merge_record(self, value: StoredValue) -> None:
         try:
-            body = msgspec.convert(value.spec, _Body)
+            body = msgspec.convert(value.spec, _RecordBody)
         except msgspec.ValidationError as problem:
             log_event("crashes.unreadable", digest=value.name, detail=str(problem))
             return
--- a/radishfield/forwarding/_crash_watch.py
+++ b/radishfield/forwarding/_crash_watch.py
@@ -1,4 +1,4 @@
-"""Finds out whether a target ended when an attempt at it broke."""
+"""Checks whether a target has crashed when an attempt at it fails."""
 
 import trio
 
@@ -6,36 +6,36 @@
 from radishfield.crashes import Verdict
 from radishfield.forwarding._call import Call
 from radishfield.forwarding._crash_records import CrashRecords
-from radishfield.forwarding._target_ends import TargetEnds, TargetState
+from radishfield.forwarding._target_ends import TargetProbe, TargetState
 from radishfield.forwarding._view import RouterView
 from radishfield.routing import TargetRecord
 from radishfield.telemetry import log_event
 from radishfield.web import backoff_s
 
-LOOK_WAIT_S = 0.1
-"""Time for which the next attempt waits for the look at the target of the last one."""
-READ_FROM_ENDS = 2
-"""Ends under a request from which on the store is asked what others wrote of it."""
+TARGET_CHECK_WAIT_S = 0.1
+"""Maximum wait of the next attempt for the check of the last one's target."""
+READ_FROM_CRASHES = 2
+"""Crashes under a request from which on other hosts' records are read in the store."""
 BROKEN_CODES = frozenset({ResultCode.STREAM_BROKEN, ResultCode.ANSWER_TRUNCATED})
-"""Ends of an attempt that the end of its target may have caused."""
+"""Failures of an attempt that a crash of its target may have caused."""
 
 
 class CrashWatch:
-    """Counts ends of targets under calls, and keeps the store's records of them."""
+    """Counts crashes of targets under calls, and keeps the store's records of them."""
 
-    __slots__ = ("_ends", "_host_id", "_nursery", "_records", "_view")
+    __slots__ = ("_host_id", "_nursery", "_records", "_target_probe", "_view")
 
     def __init__(
-        self, host_id: str, ends: TargetEnds, records: CrashRecords, view: RouterView
+        self, host_id: str, probe: TargetProbe, records: CrashRecords, view: RouterView
     ):
         self._host_id = host_id
-        self._ends = ends
+        self._target_probe = probe
         self._records = records
         self._view = view
         self._nursery: trio.Nursery | None = None
 
     async def run(self, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED):
-        """Look at targets, and at what is refused, until cancelled."""
+        """Check targets and record refused requests until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             nursery.start_soon(self._read_at_start)
@@ -49,26 +49,28 @@
             await trio.sleep(backoff_s(failures, self._view.chance))
 
     async def note_end(self, call: Call, record: TargetRecord, problem: Fault) -> None:
-        """Note how an attempt ended, and look at its target if that may have ended."""
-        if not self._may_have_ended(record, problem):
+        """Check the target of a failed attempt if it may have crashed."""
+        if not self._may_have_crashed(record, problem):
             return
-        looked = trio.Event()
-        # The caller may leave meanwhile; what is found matters to other requests.
-        self._nursery.start_soon(self._look, call, record, looked)
-        with trio.move_on_after(LOOK_WAIT_S):
-            await looked.wait()
+        checked = trio.Event()
+        # The check goes on if the caller leaves: its result matters to other requests.
+        self._nursery.start_soon(self._check_target, call, record, checked)
+        with trio.move_on_after(TARGET_CHECK_WAIT_S):
+            await checked.wait()
 
-    def _may_have_ended(self, record: TargetRecord, problem: Fault) -> bool:
+    def _may_have_crashed(self, record: TargetRecord, problem: Fault) -> bool:
         directory = self._view.directory
         if directory.leaves(record):
-            # Work that outlasts its target's notice is cut when the target exits.
+            # Work that outlasts its target's notice is aborted when the target exits.
             return False
         if problem.code is ResultCode.STREAM_SILENT:
             return directory.found_lost(record.id)
         return problem.code in BROKEN_CODES
 
-    async def _look(self, call: Call, record: TargetRecord, looked: trio.Event) -> None:
-        state = await self._ends.state(record)
+    async def _check_target(
+        self, call: Call, record: TargetRecord, checked: trio.Event
+    ) -> None:
+        state = await self._target_probe.state(record)
         crashes = self._view.crashes
         counted = state is TargetState.ENDED and crashes.count(
             call.digest, record.id, record.started_ms
@@ -81,12 +83,12 @@
             target_state=str(state),
             counted=counted,
         )
-        looked.set()
-        if counted and len(crashes.report(call.digest).ends) >= READ_FROM_ENDS:
+        checked.set()
+        if counted and len(crashes.report(call.digest).ends) >= READ_FROM_CRASHES:
             await self._records.read()
 
     def _write_refused(self, digest: str, verdict: Verdict) -> None:
-        """Write down what is refused: the host that saw the last end does."""
+        """Record a refused request, on the host that saw the last crash under it."""
         newest = max(verdict.ends, key=lambda end: end.at)
         if newest.told_by == self._host_id:
             self._nursery.start_soon(self._write, digest)
--- a/radishfield/forwarding/_lease.py
+++ b/radishfield/forwarding/_lease.py
@@ -1,4 +1,4 @@
-"""The lease in the store under which one host at a time places a service's layers."""
+"""Lease in the store that lets one host at a time place a service's layers."""
 
 import msgspec
 
@@ -9,14 +9,15 @@
 
 LEASES_KIND = "radishfield-leases"
 LEASE_S = 2.0
-"""A lease whose object has not changed for this long, as the host that wants it has
-watched, is free: a holder renews four times in it while it has orders to give.  A
-holder that wakes late and orders all the same names counts that no longer fit."""
-ASK_AGAIN_S = 1.5
-"""Pause between readings of a lease that another host holds."""
+"""A lease whose object has not changed for this long, as observed by the host that
+wants it, is free: a holder renews it four times in this period while it has orders to
+send.  If a holder resumes late and still sends orders, the order counts that they name
+no longer match."""
+READ_INTERVAL_S = 1.5
+"""Interval between reads of a lease that another host holds."""
 
 
-class _Seen(msgspec.Struct, frozen=True):
+class _ObservedRevision(msgspec.Struct, frozen=True):
     revision: int
     since: float
 
@@ -26,14 +27,14 @@
 
 
 class PlacementLease:
-    """One service's lease, as this host holds it or sees it held."""
+    """One service's lease, as held or observed by this host."""
 
     __slots__ = (
-        "_ask_again_at",
         "_host_id",
+        "_next_read_at",
+        "_observed",
         "_renewed_at",
         "_revision",
-        "_seen",
         "_service",
         "_store",
         "_view",
@@ -48,29 +49,29 @@
         self._view = view
         self._revision: int | None = None
         self._renewed_at = 0.0
-        self._seen: _Seen | None = None
-        self._ask_again_at = 0.0
+        self._observed: _ObservedRevision | None = None
+        self._next_read_at = 0.0
 
     @property
     def fence(self) -> int:
-        """Return the revision under which orders are given; 0 without the lease."""
+        """Return the lease's revision, which fences orders; 0 without the lease."""
         return self._revision or 0
 
     def is_held(self, now: float) -> bool:
-        """Return whether this host holds the lease, by its own knowledge."""
+        """Return whether this host holds the lease, as far as it knows."""
         return self._revision is not None and now - self._renewed_at < LEASE_S
 
     async def hold(self) -> bool:
-        """Hold the lease, take it if it is free, or learn who has it."""
+        """Renew, acquire if free, or observe the lease; return whether it is held."""
         now = self._view.clock.now()
         if self._revision is not None:
             if now - self._renewed_at < LEASE_S / 4:
                 return True
             return await self._write(self._revision)
-        told_at = self._view.duty_reported_at.get(self._service, -1e9)
-        if now - told_at < LEASE_S or now < self._ask_again_at:
+        reported_at = self._view.duty_reported_at.get(self._service, -1e9)
+        if now - reported_at < LEASE_S or now < self._next_read_at:
             return False
-        self._ask_again_at = now + ASK_AGAIN_S
+        self._next_read_at = now + READ_INTERVAL_S
         read = await self._store.read(LEASES_KIND, self._service)
         if read.is_error():
             if read.error.code is ResultCode.OBJECT_NOT_FOUND:
@@ -82,16 +83,16 @@
 
     def _is_free(self, value: StoredValue, now: float) -> bool:
         if _holder(value) == self._host_id:
-            # This host held it before it was started again.
+            # This host held it before its restart.
             return True
-        if self._seen is None or self._seen.revision != value.revision:
-            self._seen = _Seen(value.revision, now)
+        if self._observed is None or self._observed.revision != value.revision:
+            self._observed = _ObservedRevision(value.revision, now)
             return False
-        return now - self._seen.since >= LEASE_S
+        return now - self._observed.since >= LEASE_S
 
     async def _write(self, revision: int | None) -> bool:
-        asked_at = self._view.clock.now()
-        spec = {"holder": self._host_id, "at_s": round(asked_at, 3)}
+        requested_at = self._view.clock.now()
+        spec = {"holder": self._host_id, "at_s": round(requested_at, 3)}
         if revision is None:
             written = await self._store.create(LEASES_KIND, self._service, spec)
         else:
@@ -107,7 +108,7 @@
         if self._revision is None:
             log_event("lease.held", service=self._service, revision=written.ok.revision)
         self._revision = written.ok.revision
-        self._renewed_at = asked_at
+        self._renewed_at = requested_at
         return True
 
 
--- a/radishfield/forwarding/_placer.py
+++ b/radishfield/forwarding/_placer.py
@@ -1,10 +1,10 @@
-"""Gives empty targets their layers, under a lease in the store.
+"""Assigns layers to empty targets, under a lease in the store.
 
-The plan is pure (`radishfield.routing.plan_layout`).  Here one host at a time, the
-holder of the service's lease, sends it as orders.  The lease keeps two hosts from
-ordering different things; each order also names how many orders its target has
-taken, as that target reports, so that one that is carried out late, or sent by a
-host that has lost the lease without knowing, does not fit any more.
+The plan is a pure function (`radishfield.routing.plan_layout`).  One host at a time,
+the holder of the service's lease, sends it as orders.  The lease keeps two hosts from
+sending conflicting orders.  Each order also names how many orders its target has
+accepted, as that target reports, so that an order that is executed late, or sent by a
+host that has lost the lease without knowing, no longer matches.
 """
 
 from collections.abc import Sequence
@@ -28,61 +28,61 @@
 )
 from radishfield.telemetry import log_event
 
-LOOK_S = 0.25
+CHECK_INTERVAL_S = 0.25
 SETTLE_S = 1.0
-"""Targets that start together register within seconds, some tenths apart.  A plan
-made before the last of them would deal the same layers again and leave others
-without a copy; so it waits until none has come for this long."""
-LONGEST_SETTLE_S = 5.0
-"""A fleet whose targets come and go all the time is planned for after this."""
-START_SHARE = 0.3
-"""Share of a service's targets that are empty from which on the fleet starts.  Below
+"""Targets that start together register within seconds, some tenths of a second apart.
+A plan made before the last of them would assign the same layers again and leave others
+without a copy, so planning waits until no target has registered for this long."""
+MAX_SETTLE_S = 5.0
+"""Maximum wait for a fleet whose targets come and go all the time."""
+FLEET_START_SHARE = 0.3
+"""Share of empty targets of a service above which the fleet counts as starting.  Below
 it targets are replaced one after the other, and waiting for the last of them would
 leave each one idle for seconds while those it replaces leave."""
 MOVE_AFTER_S = 2.0
-"""Time for which a move has to stay the best one: a target that was killed mostly
-comes back within seconds, empty, and takes what is missing without any move."""
+"""Time for which a move must stay the best one: a target that was killed usually
+restarts within seconds, empty, and takes the missing layers without any move."""
 MOVE_PAUSE_S = 5.0
-"""Pause between two moves of a service: the longest load takes four seconds, and
-only then does the list show what the next move has to build on."""
-ORDER_AGAIN_S = 3.0
-"""An order that brought no answer may be carried out seconds later; the count of
-orders it names keeps it from undoing the one that follows."""
+"""Minimum interval between moves of a service: the longest load takes 4 s, and only
+then does the target list show the layout from which the next move starts."""
+REORDER_AFTER_S = 3.0
+"""Time after which a target may be sent another order.  An unanswered order may be
+executed seconds later; the order count that it names keeps it from undoing the next
+order."""
 
 
-BEGUN = (200, 202)
+ACCEPTED_STATUSES = (200, 202)
 LOAD_SLACK = 2.0
-"""Times the usual length of a load after which one that has not shown in the list
-is no longer waited for: it was refused, or its target is gone."""
+"""Multiple of a load's typical duration after which a load that the target list does
+not show is no longer waited for: it was refused, or its target is gone."""
 
 
-class _Ordered(msgspec.Struct):
-    """What a target was ordered last.
+class _LastOrder(msgspec.Struct):
+    """The last order sent to a target.
 
     Attributes
     ----------
     loads_until : float
-        Time by which its load has surely ended.
+        Time by which the load has certainly ended.
     """
 
     incarnation: tuple[str, int]
-    again_at: float
+    next_order_at: float
     loads_until: float
 
 
-class _Unplaced(msgspec.Struct, frozen=True):
-    """Empty targets that wait for a plan, since when, and when the last came."""
+class _UnplacedTargets(msgspec.Struct, frozen=True):
+    """Empty targets that wait for a plan, since when, and when the last one came."""
 
     ids: frozenset[str]
     since: float
     grown_at: float
 
 
-class _Planned(msgspec.Struct, frozen=True):
-    """A plan, and what it was made from.
+class _CachedPlan(msgspec.Struct, frozen=True):
+    """A plan with its inputs, kept until they change.
 
-    Made anew at each look by each host, the plan for ninety targets took a
-    hundredth of a core there.
+    Computed at each check, the plan for 90 targets took 1 % of a core on each host.
     """
 
     version: int
@@ -90,36 +90,36 @@
     assignments: tuple[Assignment, ...]
 
 
-class _WantedMove(msgspec.Struct, frozen=True):
-    """A move, and since when it has been the best."""
+class _CandidateMove(msgspec.Struct, frozen=True):
+    """The best move, and since when it has been the best."""
 
     assignment: Assignment
     since: float
 
 
 class _ServiceState(msgspec.Struct):
-    """What this host knows of the placing of one service.
+    """Placement state of one service on this host.
 
     Attributes
     ----------
     searched_version : int
-        Version of the directory for which a move was searched last.
+        Version of the directory at the last search for a move.
     """
 
     lease: PlacementLease
-    planned: _Planned | None = None
-    unplaced: _Unplaced | None = None
-    wanted_move: _WantedMove | None = None
+    cached_plan: _CachedPlan | None = None
+    unplaced: _UnplacedTargets | None = None
+    candidate_move: _CandidateMove | None = None
     searched_version: int = -1
     next_move_at: float = 0.0
 
 
 class Placer:
-    """The duty of placing layers, for every service that has them."""
+    """Places the layers of every service that has layers."""
 
     __slots__ = (
         "_host_id",
-        "_ordered_by_id",
+        "_last_order_by_id",
         "_state_by_service",
         "_store",
         "_targets",
@@ -133,11 +133,11 @@
         self._store = store
         self._targets = targets
         self._view = view
-        self._ordered_by_id: dict[str, _Ordered] = {}
+        self._last_order_by_id: dict[str, _LastOrder] = {}
         self._state_by_service: dict[str, _ServiceState] = {}
 
     def duties(self) -> list[str]:
-        """Return the services whose lease this host holds, by its own knowledge."""
+        """Return the services whose lease this host holds, as far as it knows."""
         now = self._view.clock.now()
         return [
             service
@@ -153,158 +153,164 @@
         return state
 
     async def run(self, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED):
-        """Look for empty targets until cancelled."""
+        """Check for empty targets until cancelled."""
         task_status.started()
         while True:
-            await trio.sleep(LOOK_S)
+            await trio.sleep(CHECK_INTERVAL_S)
             if self._view.table is None or self._view.leaving or not self._may_place():
                 continue
             for service in self._view.table.config.service_by_name.values():
                 if service.engine is not None:
-                    await self._look(service, service.engine)
+                    await self._check_service(service, service.engine)
 
     def _may_place(self) -> bool:
         """Return whether this host is one of the few that place layers.
 
-        Load pattern: two hundred hosts see a target come back empty.  Each makes a
-        plan, and each asks the store for the lease: some four hundred calls for one
-        target.  The hosts that follow the store are enough to take it over.
+        When a target restarts empty, 200 hosts see it.  If each made a plan and
+        requested the lease, the store would get some 400 calls for one target.  The
+        hosts that follow the store are enough to take the lease over.
         """
         return self._view.watch_duty.on_duty or bool(self.duties())
 
-    async def _look(self, service: ServiceSpec, engine: EngineSpec) -> None:
+    async def _check_service(self, service: ServiceSpec, engine: EngineSpec) -> None:
         now = self._view.clock.now()
         state = self._state_of(service.name)
-        wanted = self._wanted(service, engine, state, now)
-        if not wanted:
+        due = self._due_assignments(service, engine, state, now)
+        if not due:
             state.unplaced = None
             await self._consider_move(service, engine, state, now)
             return
-        if not self._is_settled(service.name, state, wanted, now):
+        if not self._is_settled(service.name, state, due, now):
             return
         if not await state.lease.hold():
             return
-        # The list may have changed while the store was asked.
+        # The target list may have changed during the calls to the store.
         now = self._view.clock.now()
-        wanted = self._wanted(service, engine, state, now)
-        if not self._fleet_starts(service.name, wanted):
-            loading = self._loading(service.name, now)
-            wanted = next_loads(wanted, loading, engine.concurrent_loads)
+        due = self._due_assignments(service, engine, state, now)
+        if not self._fleet_starts(service.name, due):
+            loading = self._count_loading(service.name, now)
+            due = next_loads(due, loading, engine.concurrent_loads)
         async with trio.open_nursery() as nursery:
-            for assignment in wanted:
+            for assignment in due:
                 nursery.start_soon(self._order, state.lease, engine, assignment)
 
-    def _loading(self, service: str, now: float) -> int:
-        """Return how many targets load what this host ordered."""
+    def _count_loading(self, service: str, now: float) -> int:
+        """Return how many targets are loading layers that this host ordered."""
         return sum(
             record.span is None
-            and (ordered := self._ordered_by_id.get(record.id)) is not None
-            and ordered.incarnation == record.incarnation
-            and now < ordered.loads_until
+            and (last_order := self._last_order_by_id.get(record.id)) is not None
+            and last_order.incarnation == record.incarnation
+            and now < last_order.loads_until
             and not self._view.directory.suspected(record.id, now)
             for record in self._view.directory.listed(service)
         )
 
-    def _fleet_starts(self, service: str, wanted: Sequence[Assignment]) -> bool:
-        """Return whether so much is empty that nothing can be served meanwhile."""
+    def _fleet_starts(self, service: str, due: Sequence[Assignment]) -> bool:
+        """Return whether too many targets are empty to serve any request meanwhile."""
         listed = len(self._view.directory.listed(service))
-        return len(wanted) > START_SHARE * listed
+        return len(due) > FLEET_START_SHARE * listed
 
     def _is_settled(
-        self, service: str, state: _ServiceState, wanted: list[Assignment], now: float
+        self, service: str, state: _ServiceState, due: list[Assignment], now: float
     ) -> bool:
-        """Return whether a fleet that starts has stopped growing."""
-        ids = frozenset(assignment.target.id for assignment in wanted)
+        """Return whether a starting fleet has stopped growing."""
+        ids = frozenset(assignment.target.id for assignment in due)
         unplaced = state.unplaced
         if unplaced is None:
-            unplaced = _Unplaced(ids, now, now)
+            unplaced = _UnplacedTargets(ids, now, now)
         elif not ids <= unplaced.ids:
-            unplaced = _Unplaced(ids, unplaced.since, now)
+            unplaced = _UnplacedTargets(ids, unplaced.since, now)
         state.unplaced = unplaced
-        if not self._fleet_starts(service, wanted):
+        if not self._fleet_starts(service, due):
             return True
         settled = now - unplaced.grown_at >= SETTLE_S
-        return settled or now - unplaced.since >= LONGEST_SETTLE_S
+        return settled or now - unplaced.since >= MAX_SETTLE_S
 
     async def _consider_move(
         self, service: ServiceSpec, engine: EngineSpec, state: _ServiceState, now: float
     ) -> None:
-        """Order the move that helps most, once it has stayed the best for a while."""
-        wanted = self._best_move(service, engine, state, now)
-        if wanted is None or now - wanted.since < MOVE_AFTER_S:
+        """Order the best move once it has been the best for ``MOVE_AFTER_S``."""
+        candidate = self._best_move(service, engine, state, now)
+        if candidate is None or now - candidate.since < MOVE_AFTER_S:
             return
         if now < state.next_move_at:
             return
-        if not self._may_order(wanted.assignment, now):
+        if not self._may_order(candidate.assignment, now):
             return
         if not await state.lease.hold():
             return
         state.next_move_at = now + MOVE_PAUSE_S
-        await self._order(state.lease, engine, wanted.assignment)
+        await self._order(state.lease, engine, candidate.assignment)
 
     def _best_move(
         self, service: ServiceSpec, engine: EngineSpec, state: _ServiceState, now: float
-    ) -> _WantedMove | None:
-        """Return the best move; it is searched for only when the list has changed."""
+    ) -> _CandidateMove | None:
+        """Return the best move; search for it only when the target list has changed."""
         version = self._view.directory.version
         if state.searched_version == version:
-            return state.wanted_move
+            return state.candidate_move
         state.searched_version = version
         records = self._view.directory.listed(service.name)
         move = None
         if all(record.span is not None for record in records):
             move = plan_move(engine, records)
-        wanted = state.wanted_move
+        candidate = state.candidate_move
         if move is None:
-            state.wanted_move = None
-        elif wanted is None or wanted.assignment.span != move.span:
-            state.wanted_move = _WantedMove(move, now)
-        return state.wanted_move
+            state.candidate_move = None
+        elif candidate is None or candidate.assignment.span != move.span:
+            state.candidate_move = _CandidateMove(move, now)
+        return state.candidate_move
 
-    def _wanted(
+    def _due_assignments(
         self, service: ServiceSpec, engine: EngineSpec, state: _ServiceState, now: float
     ) -> list[Assignment]:
         version = self._view.directory.version
-        planned = state.planned
-        if planned is None or planned.version != version or planned.engine != engine:
+        cached_plan = state.cached_plan
+        if (
+            cached_plan is None
+            or cached_plan.version != version
+            or cached_plan.engine != engine
+        ):
             records = self._view.directory.listed(service.name)
             assignments = tuple(plan_layout(engine, records))
-            planned = state.planned = _Planned(version, engine, assignments)
+            cached_plan = state.cached_plan = _CachedPlan(version, engine, assignments)
         return [
             assignment
-            for assignment in planned.assignments
+            for assignment in cached_plan.assignments
             if self._may_order(assignment, now)
         ]
 
     def _may_order(self, assignment: Assignment, now: float) -> bool:
         target = assignment.target
-        before = self._ordered_by_id.get(target.id)
-        if before is None or before.incarnation != target.incarnation:
+        last_order = self._last_order_by_id.get(target.id)
+        if last_order is None or last_order.incarnation != target.incarnation:
             return not self._view.directory.suspected(target.id, now)
-        return now >= before.again_at
+        return now >= last_order.next_order_at
 
     async def _order(
         self, lease: PlacementLease, engine: EngineSpec, assignment: Assignment
     ) -> None:
         target, now = assignment.target, self._view.clock.now()
-        ordered = _Ordered(target.incarnation, now + ORDER_AGAIN_S, now + ORDER_AGAIN_S)
-        self._ordered_by_id[target.id] = ordered
+        last_order = _LastOrder(
+            target.incarnation, now + REORDER_AFTER_S, now + REORDER_AFTER_S
+        )
+        self._last_order_by_id[target.id] = last_order
         fence = lease.fence
         report = await self._targets.report(target)
         if report.is_error():
-            ordered.loads_until = now
-            self._left_unplaced(target, report.error)
+            last_order.loads_until = now
+            self._skip_order(target, report.error)
             return
         if report.ok.busy or report.ok.span != target.span:
-            # The list lags behind: the target holds other layers, or loads them.
+            # The target list is outdated: the target holds or loads other layers.
             return
         body = place_order(assignment.span, fence, report.ok.order_count)
         answer = await self._targets.order(target, body)
         load_s = engine.load_s * len(assignment.span) / engine.layers
-        # An order without an answer may be carried out late or never; the loads of
-        # other targets do not wait for it.
-        began = order_status(answer) in BEGUN
-        ordered.loads_until = now + LOAD_SLACK * load_s if began else now
+        # An unanswered order may be executed late or never, so the loads of other
+        # targets do not wait for it.
+        accepted = order_status(answer) in ACCEPTED_STATUSES
+        last_order.loads_until = now + LOAD_SLACK * load_s if accepted else now
         log_event(
             "order.place",
             target=target.id,
@@ -316,7 +322,7 @@
             directory_version=self._view.directory.version,
         )
 
-    def _left_unplaced(self, target: TargetRecord, problem: Fault) -> None:
+    def _skip_order(self, target: TargetRecord, problem: Fault) -> None:
         if problem.code is ResultCode.CONNECT_FAILED:
             self._view.directory.suspect(target.id, self._view.clock.now())
         log_event(
--- a/radishfield/forwarding/_router.py
+++ b/radishfield/forwarding/_router.py
@@ -1,4 +1,4 @@
-"""The router: its services, wired by name, and an orderly end."""
+"""Assembles the services of a router, runs them and shuts them down gracefully."""
 
 import logging
 import signal
@@ -19,7 +19,7 @@
 from radishfield.forwarding._placer import Placer
 from radishfield.forwarding._plain import PlainForwarder
 from radishfield.forwarding._streams import StreamForwarder
-from radishfield.forwarding._target_ends import TargetEnds
+from radishfield.forwarding._target_ends import TargetProbe
 from radishfield.forwarding._targets import Targets
 from radishfield.forwarding._view import RouterView
 from radishfield.forwarding._watchdog import StreamWatchdog
@@ -50,31 +50,31 @@
 )
 
 CLOSE_S = 0.4
-"""Time after the last request is taken in which kept connections get their end."""
-LEAVE_LOOK_S = 0.05
+"""Time after the last accepted request in which kept connections are closed."""
+DRAIN_CHECK_INTERVAL_S = 0.05
 IDLE_SLACK_S = 1.0
-"""Callers may use a connection again up to the limit on idle ones, so it is closed
-a little later; a close that crosses a request would lose it."""
+"""Callers may reuse an idle connection up to the idle limit, so it is closed a little
+later: a request that is sent while the connection closes would be lost."""
 IDLE_LIMIT_FACTOR = 2.0
-"""Limits after which an idle connection is closed: a version that raises the limit does
-not reach the timers that run."""
-CLOSE_IDLE_S = 1.0
-RELOAD_LOOK_S = 2.0
-MANY_REQUESTS = 1_000_000_000
+"""Multiple of the idle limit after which a connection is closed: a configuration
+version that raises the limit does not change the timers that already run."""
+CLOSE_IDLE_INTERVAL_S = 1.0
+RELOAD_CHECK_INTERVAL_S = 2.0
+MAX_REQUESTS_PER_CONNECTION = 1_000_000_000
 STORE_BURST = 100.0
-"""Calls that may follow each other at once: a start with lists of some pages, and
-the orders of a whole fleet under a lease, are some tens."""
+"""Calls that may be made without a pause: a start that lists several pages, or the
+orders of a whole fleet under a lease, take some tens of calls."""
 
 
 class _CallerListener(ListenerConfig):
-    """Callers keep connections for many requests, and set their own pauses."""
+    """Callers reuse connections for many requests, and choose their own idle times."""
 
-    keep_alive_max_requests = MANY_REQUESTS
+    keep_alive_max_requests = MAX_REQUESTS_PER_CONNECTION
     include_date_header = False
 
 
 class IdleConnections:
-    """Closes kept connections to targets that nobody used again."""
+    """Closes idle connections to targets."""
 
     __slots__ = ("_connections",)
 
@@ -82,15 +82,15 @@
         self._connections = connections
 
     async def run(self, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED):
-        """Close until cancelled."""
+        """Close idle connections until cancelled."""
         task_status.started()
         while True:
-            await trio.sleep(CLOSE_IDLE_S)
+            await trio.sleep(CLOSE_IDLE_INTERVAL_S)
             await self._connections.close_idle()
 
 
 class Router:
-    """Every service of a router's process, wired by name in one kernel."""
+    """All services of a router process, registered by name in one kernel."""
 
     __slots__ = ("_caller_config", "_kernel", "_promises", "view")
 
@@ -144,7 +144,7 @@
         )
         placer = Placer(settings.host.id, store, targets, view)
         crashes = CrashWatch(
-            settings.host.id, TargetEnds(targets), CrashRecords(store, view), view
+            settings.host.id, TargetProbe(targets), CrashRecords(store, view), view
         )
         telemetry.watch(
             "target_ends_counted",
@@ -186,7 +186,7 @@
         self._caller_config.keep_alive_timeout = keep_alive_s
 
     async def run(self, stop: trio.Event) -> None:
-        """Serve until ``stop`` is set, then end what is in flight."""
+        """Serve until ``stop`` is set, then drain the requests in flight."""
         async with trio.open_nursery() as nursery:
             await nursery.start(self._kernel.run)
             log_event("host.started", zone=self.view.zone)
@@ -195,16 +195,16 @@
             nursery.cancel_scope.cancel()
 
     async def _leave(self) -> None:
-        """Fail readiness, serve on, and end once nothing is in flight."""
-        began = self.view.clock.now()
-        self.view.leaving_since = began
+        """Fail readiness, keep serving, and return once nothing is in flight."""
+        leave_started_at = self.view.clock.now()
+        self.view.leaving_since = leave_started_at
         log_event("host.leaving", in_flight=self.view.in_flight)
-        last_s = self._promises.grace_s - END_MARGIN_S
-        while (gone_s := self.view.clock.now() - began) < last_s:
-            if gone_s >= NOTICE_S + CLOSE_S and self.view.in_flight == 0:
+        max_s = self._promises.grace_s - END_MARGIN_S
+        while (elapsed_s := self.view.clock.now() - leave_started_at) < max_s:
+            if elapsed_s >= NOTICE_S + CLOSE_S and self.view.in_flight == 0:
                 break
-            await trio.sleep(LEAVE_LOOK_S)
-        log_event("host.left", cut_off=self.view.in_flight, after_s=round(gone_s, 2))
+            await trio.sleep(DRAIN_CHECK_INTERVAL_S)
+        log_event("host.left", cut_off=self.view.in_flight, after_s=round(elapsed_s, 2))
 
 
 def read_settings(path: str) -> Result[EntrySettings, list[Fault]]:
@@ -249,17 +249,17 @@
 
 
 async def _watch_settings(path: str) -> None:
-    """Read the file again when it changes; not every change brings a signal."""
-    before = _stamp(path)
+    """Reload the settings when the file changes; not every change brings a signal."""
+    before = _file_stamp(path)
     while True:
-        await trio.sleep(RELOAD_LOOK_S)
-        now = _stamp(path)
+        await trio.sleep(RELOAD_CHECK_INTERVAL_S)
+        now = _file_stamp(path)
         if now != before:
             before = now
             reload_settings(path, "file")
 
 
-def _stamp(path: str) -> tuple[int, int]:
+def _file_stamp(path: str) -> tuple[int, int]:
     try:
         found = Path(path).stat()
     except OSError:
@@ -268,7 +268,7 @@
 
 
 def reload_settings(path: str, reason: str) -> None:
-    """Take the log level anew; addresses need a start, and the old ones hold."""
+    """Apply the log level; new addresses take effect only after a restart."""
     match read_settings(path):
         case Result(tag="ok", ok=settings):
             logging.getLogger().setLevel(settings.log.level.upper())
--- a/radishfield/forwarding/_target_ends.py
+++ b/radishfield/forwarding/_target_ends.py
@@ -1,6 +1,7 @@
-"""Tells the end of a target from the end of a connection to it.
+"""Distinguishes the crash of a target from the loss of a connection to it.
 
-Its address tells whether anybody listens there, and its report which start does.
+A connection to its address shows whether any process listens there, and its report
+shows which incarnation that is.
 """
 
 import enum
@@ -16,53 +17,53 @@
 
 
 class TargetState(enum.StrEnum):
-    """What a look at a target's address shows after a connection to it broke."""
+    """Result of probing a target's address after a connection to it broke."""
 
     ENDED = "ended"
     ALIVE = "alive"
     UNKNOWN = "unknown"
 
 
-class TargetEnds:
-    """Looks whether targets have ended; requests that ask together share a look."""
+class TargetProbe:
+    """Probes whether targets have ended; concurrent requests share a probe."""
 
-    __slots__ = ("_look_by_incarnation", "_targets")
+    __slots__ = ("_probe_by_incarnation", "_targets")
 
     def __init__(self, targets: Targets):
         self._targets = targets
-        self._look_by_incarnation: dict[tuple[str, int], _Look] = {}
+        self._probe_by_incarnation: dict[tuple[str, int], _RunningProbe] = {}
 
     async def state(self, record: TargetRecord) -> TargetState:
-        """Return whether this start of a target has ended."""
-        look = self._look_by_incarnation.get(record.incarnation)
-        if look is not None:
-            await look.done.wait()
-            return look.state
-        look = self._look_by_incarnation[record.incarnation] = _Look()
+        """Return whether this incarnation of a target has ended."""
+        probe = self._probe_by_incarnation.get(record.incarnation)
+        if probe is not None:
+            await probe.done.wait()
+            return probe.state
+        probe = self._probe_by_incarnation[record.incarnation] = _RunningProbe()
         try:
-            look.state = await self._look(record)
+            probe.state = await self._probe(record)
         finally:
-            del self._look_by_incarnation[record.incarnation]
-            look.done.set()
-        log_event("target.checked", target=record.id, state=str(look.state))
-        return look.state
+            del self._probe_by_incarnation[record.incarnation]
+            probe.done.set()
+        log_event("target.checked", target=record.id, state=str(probe.state))
+        return probe.state
 
-    async def _look(self, record: TargetRecord) -> TargetState:
+    async def _probe(self, record: TargetRecord) -> TargetState:
         is_open = await listens(*split_address(record.address))
         if is_open is None:
             return TargetState.UNKNOWN
-        # Kept connections serve on at a target that only refuses new ones.
+        # A target that only refuses new connections still serves on kept ones.
         report = await self._targets.report(record)
         if report.is_ok():
             return _state_of(record.started_ms, report.ok.started_ms)
         if not is_open:
             return TargetState.ENDED
-        # A target that serves alone knows no reports, and says so.
+        # A target that serves requests alone has no reports and answers with an error.
         answered = report.error.code is ResultCode.MALFORMED_ANSWER
         return TargetState.ALIVE if answered else TargetState.UNKNOWN
 
 
-class _Look:
+class _RunningProbe:
     __slots__ = ("done", "state")
 
     def __init__(self):
@@ -71,6 +72,6 @@
 
 
 def _state_of(listed_ms: int, reported_ms: int) -> TargetState:
-    """Return what a report says of the start that is listed; 0 where it names none."""
-    another = listed_ms and reported_ms and listed_ms != reported_ms
-    return TargetState.ENDED if another else TargetState.ALIVE
+    """Compare the listed and the reported start time; 0 where none is given."""
+    restarted = listed_ms and reported_ms and listed_ms != reported_ms
+    return TargetState.ENDED if restarted else TargetState.ALIVE
--- a/radishfield/forwarding/_targets.py
+++ b/radishfield/forwarding/_targets.py
@@ -1,4 +1,4 @@
-"""Sends calls to targets and sorts what comes back by what it proves."""
+"""Sends calls to targets and classifies failures by whether the call may have run."""
 
 import msgspec
 import trio
@@ -26,27 +26,27 @@
 from radishfield.telemetry import DeferredTelemetry, log_event
 
 REPORT_TIMEOUT_S = 0.4
-"""A report needs no place in the target's queue; a live target of the region
-answers in milliseconds, and one lost packet is not yet held for a death."""
+"""A report needs no slot in the target's queue, and a live target of the region
+answers in milliseconds.  One lost packet must not count as a dead target."""
 ORDER_TIMEOUT_S = 1.5
 MISDIRECTED = 421
-LEAST_PRIORITY = 9
-LONGEST_REFUSAL_S = 1.0
-ELSEWHERE_RETRY_S = 0.1
-STALE_RETRY_S = 3.5
-"""A store that is out of reach for this long mostly stays so for seconds more;
-callers come back once, so they are told to come late rather than in vain."""
+LOWEST_PRIORITY = 9
+MAX_REFUSAL_S = 1.0
+OTHER_HOST_RETRY_S = 0.1
+STORE_DOWN_RETRY_S = 3.5
+"""A store that has been unreachable for this long mostly stays so for seconds more.
+Callers retry once, so the delay avoids a retry that would fail as well."""
 
 
 class OrderAnswer(msgspec.Struct, frozen=True):
-    """A target's answer to an order; the body names what stands in the way."""
+    """A target's answer to an order; the body names the obstacle."""
 
     status: int
     body: bytes
 
 
 class Targets:
-    """The targets as this host reaches them."""
+    """Client for the targets: sends calls, report requests and orders."""
 
     __slots__ = ("_connections", "_telemetry", "_view", "orders_by_status", "reports")
 
@@ -65,15 +65,15 @@
     def check(self, call: Call) -> Fault | None:
         """Return why a call may not be sent now, or None.
 
-        Asked right before each send: while a request waited or was tried, its key
-        may have been taken away, its route moved, or its time have passed.  A stream
-        that has begun ends under the configuration that admitted it: those at whose
-        targets nothing breaks do as well.  Nothing that ends its targets goes on,
-        begun or not.
+        Called right before each send: while a request waited or was attempted, its
+        key may have been revoked, its route moved, or its deadline have passed.  A
+        stream that has started ends under the configuration that admitted it, like
+        streams whose targets don't fail.  A request that crashes its targets is not
+        sent again, started or not.
         """
         now = self._view.clock.now()
         if now >= call.deadline_at:
-            return _late(call)
+            return _deadline_fault(call)
         refusal = self._view.crash_refusal(call)
         if refusal is not None:
             return refusal
@@ -85,13 +85,13 @@
         if route is None:
             return fault(ResultCode.UNKNOWN_ROUTE, "removed while the request waited")
         if not any(share.service == call.service.name for share in route.shares):
-            detail = "moved while the request waited"
-            return fault(ResultCode.NO_TARGET, detail, LONGEST_REFUSAL_S / 4)
+            detail = "route moved while the request waited"
+            return fault(ResultCode.NO_TARGET, detail, MAX_REFUSAL_S / 4)
         match table.identify(route, call.facts.key):
             case NoKeyNeeded():
                 return None
             case UnknownKey():
-                return fault(ResultCode.UNAUTHORIZED, "key taken away")
+                return fault(ResultCode.UNAUTHORIZED, "key revoked")
             case workspace:
                 call.workspace = workspace
         if not self._view.freshness.admits_keys(call.arrived_at):
@@ -99,15 +99,15 @@
         return None
 
     def may_repeat(self, call: Call, problem: Fault) -> bool:
-        """Take a repeat out of the allowance; False if none is left.
+        """Take a retry from the retry budget; False if none is left.
 
         Parameters
         ----------
         problem : Fault
-            What ended the attempt before.
+            Why the previous attempt failed.
         """
         if call.arrived == 0:
-            # Nothing has reached a target, so this is still the first arrival.
+            # No attempt has reached a target, so the next one is not a retry.
             return True
         if not self.reserve_repeat(call):
             self._telemetry.refused(ResultCode.RETRY_BUDGET_SPENT)
@@ -129,13 +129,13 @@
         return True
 
     def reserve_repeat(self, call: Call) -> bool:
-        """Take a repeat that is sent later; False if none is left."""
+        """Reserve a retry that is sent later; False if none is left."""
         if not call.repeat_reserved:
             call.repeat_reserved = self._view.take_repeat(call.service.name)
         return call.repeat_reserved
 
     def release_repeat(self, call: Call) -> None:
-        """Put a repeat back that was reserved and never sent."""
+        """Return a retry to the budget that was reserved and never sent."""
         if call.repeat_reserved:
             call.repeat_reserved = False
             self._view.budget(call.service.name).give_back()
@@ -147,7 +147,7 @@
         path: Path = (),
         last_event_id: bytes = b"",
     ) -> Result[Exchange, Fault]:
-        """Send a call to one target, and check that the answer is this call's."""
+        """Send a call to one target, and check that the answer belongs to it."""
         now = self._view.clock.now()
         facts = SendFacts(
             target_id=record.id,
@@ -155,7 +155,7 @@
             workspace=call.workspace.name if call.workspace else None,
             path=path,
             last_event_id=last_event_id,
-            priority=min(max(call.priority, 0), LEAST_PRIORITY),
+            priority=min(max(call.priority, 0), LOWEST_PRIORITY),
         )
         outgoing = Outgoing(
             call.method,
@@ -170,7 +170,7 @@
         call.tried.add(record.id)
         ran_there_before = record.id in call.ran_at
         call.ran_at.add(record.id)
-        possible_run, call.may_have_run = call.may_have_run, True
+        may_have_run_before, call.may_have_run = call.may_have_run, True
         fresh = not call.route.repeatable
         call.arrived += 1
         sent = await self._connections.send(record.address, outgoing, fresh)
@@ -178,32 +178,36 @@
             if sent.error.code is ResultCode.CONNECT_FAILED:
                 call.arrived -= 1
                 if call.arrived:
-                    # Only what arrives at a target counts as a repeat.
+                    # Only attempts that arrive at a target count as retries.
                     budget.give_back()
-            self._unreachable(call, record, sent.error)
-            call.may_have_run = possible_run or sent.error.outcome is Outcome.UNKNOWN
+            self._handle_send_failure(call, record, sent.error)
+            call.may_have_run = (
+                may_have_run_before or sent.error.outcome is Outcome.UNKNOWN
+            )
             if sent.error.outcome is Outcome.NOT_RUN and not ran_there_before:
                 call.ran_at.discard(record.id)
             return sent
         exchange = sent.ok
         if exchange.facts.not_run:
-            call.may_have_run = possible_run
+            call.may_have_run = may_have_run_before
             if not ran_there_before:
                 call.ran_at.discard(record.id)
-            return Error(await self._refused(call, record, exchange))
+            return Error(await self._handle_refusal(call, record, exchange))
         if exchange.facts.request_id != call.facts.request_id:
             await exchange.close(reusable=False)
             detail = "the answer belongs to another request"
             return Error(fault(ResultCode.MALFORMED_ANSWER, detail))
         if exchange.facts.encoded:
             await exchange.close(reusable=False)
-            return Error(fault(ResultCode.MALFORMED_ANSWER, "encoded body"))
+            return Error(
+                fault(ResultCode.MALFORMED_ANSWER, "the body has a content encoding")
+            )
         return Ok(exchange)
 
     async def report(
         self, record: TargetRecord, limit_s: float = REPORT_TIMEOUT_S
     ) -> Result[TargetReport, Fault]:
-        """Ask a target what it does."""
+        """Request a target's report."""
         self.reports += 1
         outgoing = Outgoing("GET", REPORT_PATH.encode(), [_host(record)])
         answer = await self._short_call(record, outgoing, limit_s)
@@ -217,7 +221,7 @@
     async def order(
         self, record: TargetRecord, body: bytes
     ) -> Result[OrderAnswer, Fault]:
-        """Give a target an order, once; without an answer it may be carried out."""
+        """Send an order to a target, once; it may be executed even if unanswered."""
         headers = [_host(record), *order_headers(record.id)]
         headers.append((b"content-length", str(len(body)).encode()))
         outgoing = Outgoing("POST", ORDER_PATH.encode(), headers, body)
@@ -235,25 +239,27 @@
                 return sent
             body = await sent.ok.read()
             await sent.ok.close(reusable=body.is_ok())
-            return body.map(lambda whole: OrderAnswer(sent.ok.facts.status, whole))
-        return Error(fault(ResultCode.STREAM_SILENT, f"no answer in {limit_s} s"))
+            return body.map(lambda content: OrderAnswer(sent.ok.facts.status, content))
+        return Error(fault(ResultCode.STREAM_SILENT, f"no answer within {limit_s} s"))
 
-    def _unreachable(self, call: Call, record: TargetRecord, problem: Fault) -> None:
+    def _handle_send_failure(
+        self, call: Call, record: TargetRecord, problem: Fault
+    ) -> None:
         now = self._view.clock.now()
-        left_out_s = 0.0
+        excluded_s = 0.0
         if problem.code is ResultCode.CONNECT_FAILED:
-            left_out_s = self._view.directory.suspect(record.id, now)
+            excluded_s = self._view.directory.suspect(record.id, now)
         log_event(
             "attempt.failed",
             request=call.facts.request_id,
             target=record.id,
             code=int(problem.code),
             detail=problem.detail,
-            left_out_s=round(left_out_s, 2),
+            left_out_s=round(excluded_s, 2),
             directory_version=self._view.directory.version,
         )
 
-    async def _refused(
+    async def _handle_refusal(
         self, call: Call, record: TargetRecord, exchange: Exchange
     ) -> Fault:
         facts = exchange.facts
@@ -263,7 +269,7 @@
         if facts.faulty_address:
             at_fault = self._view.directory.at_address(facts.faulty_address) or record
         if call.service.engine is not None:
-            self._leave_out(at_fault, facts.status)
+            self._exclude_target(at_fault, facts.status)
         log_event(
             "attempt.refused",
             request=call.facts.request_id,
@@ -275,12 +281,12 @@
         detail = f"status {facts.status}"
         return Fault(ResultCode.TARGET_REFUSED, detail, None, None, at_fault.id)
 
-    def _leave_out(self, record: TargetRecord, status: int) -> None:
-        """Leave a part of a path out for a moment after it refused work.
+    def _exclude_target(self, record: TargetRecord, status: int) -> None:
+        """Exclude a stage of a path for a moment after it refused work.
 
-        One that is full refuses the next request as well, and each refusal counts
-        as a repeat; one that does not hold its layers any more refuses until the
-        list shows it.
+        A full target refuses the next request as well, and each refusal counts as a
+        retry.  A target that no longer holds its layers refuses requests until the
+        target list shows it.
         """
         if status == MISDIRECTED:
             self._view.directory.suspect(record.id, self._view.clock.now())
@@ -294,10 +300,10 @@
 
 
 def final_fault(call: Call, problem: Fault, retry_s: float) -> Fault:
-    """Return what a caller is told about a request that is given up.
+    """Return the fault that the caller of an abandoned request gets.
 
-    Only where no target may have run it is that a promise, with a time to come
-    back: a caller who is promised that nothing ran sends again what may not run
+    Only if no target may have run the request does the fault guarantee this and give
+    a retry time: with this guarantee, callers resend even a request that may not run
     twice.
     """
     if call.may_have_run:
@@ -312,21 +318,21 @@
 
 
 def stale_view(view: RouterView) -> Fault:
-    """Return the refusal of a key by a view that may be too old to know it.
+    """Return the refusal of a key that this host may be too outdated to know.
 
-    Where other hosts reach the store a caller that comes back at once is served by
-    one of them; where none does, coming back soon would be in vain.
+    If other hosts reach the store, one of them serves a caller that retries at once;
+    if none does, an early retry would fail.
     """
     age_s = round(view.freshness.age_s(view.clock.now()), 2)
     detail = f"configuration confirmed {age_s} s ago"
-    retry_s = ELSEWHERE_RETRY_S if view.sends_callers_away() else STALE_RETRY_S
+    retry_s = OTHER_HOST_RETRY_S if view.sends_callers_away() else STORE_DOWN_RETRY_S
     return fault(ResultCode.PROFILES_UNKNOWN, detail, retry_s)
 
 
-def _late(call: Call) -> Fault:
+def _deadline_fault(call: Call) -> Fault:
     if call.may_have_run:
         return fault(ResultCode.DEADLINE_PASSED)
-    return fault(ResultCode.EXPIRED_IN_QUEUE, "", LONGEST_REFUSAL_S)
+    return fault(ResultCode.EXPIRED_IN_QUEUE, "", MAX_REFUSAL_S)
 
 
 def _host(record: TargetRecord) -> tuple[bytes, bytes]:
