--- a/radishfield/forwarding/conftest.py
+++ b/radishfield/forwarding/conftest.py
@@ -1,4 +1,4 @@
-"""A router in this process with stand-ins of the store and the targets around it."""
+"""Runs routers in the test process against stand-ins of the store and the targets."""
 
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, field
@@ -21,35 +21,35 @@
 from standins.routed_targets import LayeredFleet, LayeredTarget, PlainTarget
 
 
-class HeldLink:
-    """The link of the router's host: while it is taken, no answer gets through."""
+class BlockableLink:
+    """The link of the router's host: while it is blocked, no answer gets through."""
 
     def __init__(self):
-        self._free = trio.Event()
-        self._free.set()
+        self._unblocked = trio.Event()
+        self._unblocked.set()
 
-    def around(self, app):
-        """Return an application whose answers pass the link."""
+    def wrap(self, app):
+        """Return an application whose answers pass through the link."""
 
-        async def held(scope, receive, send):
-            async def send_when_free(message):
-                await self._free.wait()
+        async def linked_app(scope, receive, send):
+            async def send_when_unblocked(message):
+                await self._unblocked.wait()
                 await send(message)
 
-            await app(scope, receive, send_when_free)
+            await app(scope, receive, send_when_unblocked)
 
-        return held
+        return linked_app
 
-    async def take(self, seconds: float) -> None:
-        """Take the link for some seconds, as the answer to a large read does."""
-        self._free = trio.Event()
+    async def block(self, seconds: float) -> None:
+        """Block the link for some seconds, as the answer to a large read does."""
+        self._unblocked = trio.Event()
         await trio.sleep(seconds)
-        self._free.set()
+        self._unblocked.set()
 
 
 @dataclass
-class World:
-    """Everything that a test acts on."""
+class RouterTestbed:
+    """Routers, store and targets that a test acts on."""
 
     store: ObjectStoreApp
     fleet: LayeredFleet
@@ -63,11 +63,11 @@
     metrics: str = ""
     fronts: list[str] = field(default_factory=list)
     routers: list[Router] = field(default_factory=list)
-    ended: list[str] = field(default_factory=list)
+    crashed_ids: list[str] = field(default_factory=list)
     router: Router | None = None
     stop: trio.Event = field(default_factory=trio.Event)
     scopes: list[trio.CancelScope] = field(default_factory=list)
-    link: HeldLink = field(default_factory=HeldLink)
+    link: BlockableLink = field(default_factory=BlockableLink)
 
     async def add_plain(self, target_id: str) -> PlainTarget:
         target = PlainTarget(target_id)
@@ -90,17 +90,17 @@
 
     async def serve(self, app, nursery: trio.Nursery | None = None) -> str:
         listener = ListenerConfig.from_settings("127.0.0.1:0", drain_s=0.0)
-        held = self.link.around(app)
+        linked_app = self.link.wrap(app)
         nursery = nursery or self.nursery
-        (url,) = await nursery.start(serve_app, held, listener, None)
+        (url,) = await nursery.start(serve_app, linked_app, listener, None)
         return url.removeprefix("http://")
 
     async def serve_until_crash(self, target: PlainTarget | LayeredTarget) -> str:
-        """Serve a target; its crash ends its listener and all its connections."""
+        """Serve a target; its crash closes its listener and all its connections."""
         scope = trio.CancelScope()
 
         def crash(request_id=""):
-            self.ended.append(target.id)
+            self.crashed_ids.append(target.id)
             scope.cancel()
 
         async def run(*, task_status=trio.TASK_STATUS_IGNORED):
@@ -118,16 +118,16 @@
             "host-1", self.front, self.ready, store, promises
         )
         self.nursery.start_soon(self.router.run, self.stop)
-        await self.until(lambda: self.knows_all(self.router))
+        await self.until(lambda: self.has_config_and_targets(self.router))
         await self.until_listening(self.metrics)
 
     async def start_zone(self, hosts: int, gossip: bool = True) -> list[Router]:
-        """Start a zone of hosts; each stays until its scope is cancelled.
+        """Start a zone of hosts; each runs until its scope is cancelled.
 
         Parameters
         ----------
         gossip : bool
-            The hosts reach each other.
+            Whether the hosts exchange gossip.
         """
         store = await self.serve(self.store)
         routers = []
@@ -141,18 +141,18 @@
             routers.append(router)
         self.routers += routers
         for router in routers:
-            await self.until(lambda router=router: self.knows_all(router))
+            await self.until(lambda router=router: self.has_config_and_targets(router))
         return routers
 
     async def _run_in(self, scope: trio.CancelScope, router: Router) -> None:
         with scope:
             await router.run(self.stop)
 
-    def knows_all(self, router: Router) -> bool:
-        """Return whether a router has a configuration and the list of targets."""
-        known = {target.id for target in [*self.plain, *self.layered]}
+    def has_config_and_targets(self, router: Router) -> bool:
+        """Return whether a router has a configuration and lists exactly all targets."""
+        expected = {target.id for target in [*self.plain, *self.layered]}
         listed = {record.id for record in router.view.directory.all_records()}
-        return router.view.table is not None and listed == known
+        return router.view.table is not None and listed == expected
 
     def _new_router(
         self,
@@ -194,9 +194,9 @@
                 await stream.aclose()
                 return
 
-    async def until(self, true, limit_s: float = 5.0) -> None:
+    async def until(self, condition, limit_s: float = 5.0) -> None:
         with trio.fail_after(limit_s):
-            while not true():
+            while not condition():
                 await trio.sleep(0.02)
 
     async def request(
@@ -209,7 +209,7 @@
         address: str | None = None,
         **headers: str,
     ) -> "Reply":
-        fixed = request_headers(request_id, key)
+        standard_headers = request_headers(request_id, key)
         extra = {name.replace("_", "-"): value for name, value in headers.items()}
         host, _, port = (address or self.front).rpartition(":")
         received = bytearray()
@@ -221,7 +221,7 @@
             )
             try:
                 async with pool.stream(
-                    method, url, headers=fixed | extra, content=body or None
+                    method, url, headers=standard_headers | extra, content=body or None
                 ) as answer:
                     async for chunk in answer.aiter_stream():
                         received += chunk
@@ -229,17 +229,19 @@
                     whole = True
             except httpcore.RemoteProtocolError:
                 pass
-        by_name = {
+        header_by_name = {
             name.decode().lower(): value.decode() for name, value in answer.headers
         }
         gaps = [later - at for at, later in pairwise(times)]
         longest_gap_s = max(gaps, default=0.0)
-        return Reply(answer.status, by_name, bytes(received), whole, longest_gap_s)
+        return Reply(
+            answer.status, header_by_name, bytes(received), whole, longest_gap_s
+        )
 
 
 @dataclass
 class Reply:
-    """What a caller got; ``whole`` if the answer ended as answers do."""
+    """The answer that a caller received; ``whole`` if it was complete."""
 
     status: int
     headers: dict[str, str]
@@ -252,16 +254,16 @@
 async def world(tmp_path):
     store = ObjectStoreApp()
     async with trio.open_nursery() as nursery:
-        yield World(store, LayeredFleet(), nursery, tmp_path)
+        yield RouterTestbed(store, LayeredFleet(), nursery, tmp_path)
         nursery.cancel_scope.cancel()
 
 
-def play(tmp_path, scene, limit_s=20.0):
-    """Play a scene in a world of its own, within a time limit."""
+def play(tmp_path, scenario, limit_s=20.0):
+    """Run a scenario in a testbed of its own, within a time limit."""
 
     async def main():
         with trio.fail_after(limit_s):
-            async with world(tmp_path) as played:
-                await scene(played)
+            async with world(tmp_path) as testbed:
+                await scenario(testbed)
 
     trio.run(main)
--- a/radishfield/forwarding/crossings_test.py
+++ b/radishfield/forwarding/crossings_test.py
@@ -1,7 +1,7 @@
-"""A fleet in which every path crosses links between zones, in modelled time.
+"""Simulates a fleet in which every path crosses links between zones.
 
-Hosts are the router's own views; links carry one prompt after the other, and what
-hosts tell each other arrives as late as it does on a network.
+Hosts are the router's own views on simulated time.  Links carry one prompt after the
+other, and the state that hosts exchange arrives with the delay of a network.
 """
 
 import heapq
@@ -30,35 +30,35 @@
 STREAM_S = 1.5
 READ_S = 0.15
 OBJECTIVE_S = 0.603
-GIVEN_UP_S = 1.57
-PATIENCE_S = 1.44
-TELL_S, LOOK_S = 0.25, 0.05
-LOST_AT, BACK_AT, END = 5.0, 15.0, 22.0
+ABANDON_AFTER_S = 1.57
+MAX_WAIT_S = 1.44
+ANNOUNCE_S, CHECK_INTERVAL_S = 0.25, 0.05
+LOST_AT, RESTORED_AT, END = 5.0, 15.0, 22.0
 
 
-class SceneClock:
+class ScenarioClock:
     def __init__(self):
-        self.reading = 0.0
+        self.now_s = 0.0
 
     def now(self):
-        return self.reading
+        return self.now_s
 
 
 @dataclass
-class Scene:
-    """Hosts, links and the streams that run."""
+class Scenario:
+    """Simulated hosts and links with the running streams."""
 
     seed: int
     rate: float = 18.0
-    clock: SceneClock = field(default_factory=SceneClock)
-    free_at: Counter = field(default_factory=Counter)
-    in_time: Counter = field(default_factory=Counter)
-    asked: Counter = field(default_factory=Counter)
+    clock: ScenarioClock = field(default_factory=ScenarioClock)
+    free_at_by_link: Counter = field(default_factory=Counter)
+    on_time_by_second: Counter = field(default_factory=Counter)
+    requests_by_second: Counter = field(default_factory=Counter)
     events: list = field(default_factory=list)
-    numbers: itertools.count = field(default_factory=itertools.count)
+    sequence: itertools.count = field(default_factory=itertools.count)
 
     def __post_init__(self):
-        self.chance = random.Random(self.seed)
+        self.rng = random.Random(self.seed)
         self.views = []
         for index in range(HOSTS):
             zone = ZONES[index % len(ZONES)]
@@ -70,73 +70,83 @@
             for zone in ZONES
             for first, end in SPANS
         ]
-        self.list_all(self.records)
+        self.set_targets(self.records)
 
-    def list_all(self, records):
+    def set_targets(self, records):
         for view in self.views:
             view.directory.replace_all({item.id: item for item in records}, 0.0)
         self.zone_by_id = {item.id: item.zone for item in records}
 
-    def at(self, when, act, *given):
-        heapq.heappush(self.events, (when, next(self.numbers), act, given))
+    def schedule(self, at_s, action, *args):
+        heapq.heappush(self.events, (at_s, next(self.sequence), action, args))
 
-    def play(self):
-        self.at(LOST_AT, self.lose)
-        self.at(BACK_AT, self.list_all, self.records)
-        self.at(0.0, self.tell)
-        when = 0.0
-        while (when := when + self.chance.expovariate(self.rate)) < END:
-            self.at(when, self.arrive, self.chance.choice(self.views), when)
+    def run(self):
+        self.schedule(LOST_AT, self.remove_ranges)
+        self.schedule(RESTORED_AT, self.set_targets, self.records)
+        self.schedule(0.0, self.announce)
+        at_s = 0.0
+        while (at_s := at_s + self.rng.expovariate(self.rate)) < END:
+            self.schedule(at_s, self.arrive, self.rng.choice(self.views), at_s)
         while self.events and self.events[0][0] < END:
-            self.clock.reading, _, act, given = heapq.heappop(self.events)
-            act(*given)
+            self.clock.now_s, _, action, args = heapq.heappop(self.events)
+            action(*args)
         return self
 
-    def lose(self):
-        """Each zone loses one range, so that none is whole: a quarter, at once."""
+    def remove_ranges(self):
+        """Remove one range per zone, a quarter of all at once; no zone is complete."""
         gone = {f"{zone}{SPANS[n % 4][0]}" for n, zone in enumerate(ZONES)}
-        self.list_all([item for item in self.records if item.id not in gone])
+        self.set_targets([item for item in self.records if item.id not in gone])
         for view in self.views:
             view.free_room()
 
-    def tell(self):
+    def announce(self):
         now = self.clock.now()
         for zone in ZONES:
-            near = [view for view in self.views if view.zone == zone]
-            shares, held = Counter(), {}
-            for view in near:
+            zone_views = [view for view in self.views if view.zone == zone]
+            shares, load_by_id = Counter(), {}
+            for view in zone_views:
                 view.links.told_own(now)
                 view.load.told_own(now)
                 shares.update(view.links.own_shares(now))
                 for name, own in view.load.own_by_id.items():
-                    total = held.setdefault(name, TargetLoad())
+                    total = load_by_id.setdefault(name, TargetLoad())
                     total.requests += own.requests
                     total.token_layers += own.token_layers
                     total.as_first += own.as_first
             for view in self.views:
-                late = 0.0 if view.zone == zone else TELL_S
-                self.at(now + late, self.hear, view, zone, now, dict(shares), held)
-        self.at(now + TELL_S, self.tell)
-
-    def hear(self, view, zone, made_at, shares, held):
+                delay_s = 0.0 if view.zone == zone else ANNOUNCE_S
+                self.schedule(
+                    now + delay_s,
+                    self.receive_totals,
+                    view,
+                    zone,
+                    now,
+                    dict(shares),
+                    load_by_id,
+                )
+        self.schedule(now + ANNOUNCE_S, self.announce)
+
+    def receive_totals(self, view, zone, made_at, shares, load_by_id):
         view.links.sums.take(zone, ZoneSum(made_at, shares))
-        view.load.sums.take(zone, ZoneSum(made_at, held))
+        view.load.sums.take(zone, ZoneSum(made_at, load_by_id))
         view.load.add_up(view.zone, self.clock.now())
         view.links.advance(self.clock.now(), view.zone)
 
     def arrive(self, view, arrived):
-        self.asked[int(arrived)] += 1
-        self.look(view, arrived, None)
+        self.requests_by_second[int(arrived)] += 1
+        self.try_path(view, arrived, None)
 
-    def look(self, view, arrived, entry):
-        """Take a path, or stand in line for one."""
+    def try_path(self, view, arrived, entry):
+        """Send over a path if one is found, or wait in the queue."""
         now, queue = self.clock.now(), view.admission_queue("pool")
         records = view.directory.usable("pool", now)
         path = view.path_finder("pool", ENGINE).find(records, DEMAND)
         if path is None:
             entry = entry or queue.join(0, "w", now, 2.4)
-            if now - arrived < PATIENCE_S:
-                self.at(now + LOOK_S, self.look, view, arrived, entry)
+            if now - arrived < MAX_WAIT_S:
+                self.schedule(
+                    now + CHECK_INTERVAL_S, self.try_path, view, arrived, entry
+                )
             else:
                 queue.leave(entry)
             return
@@ -147,44 +157,47 @@
     def send(self, view, path, arrived):
         now = self.clock.now()
         view.note_crossings(ENGINE, path, DEMAND.prompt)
-        first_at = now + READ_S
-        zones = [self.zone_by_id[part.target_id] for part in path]
+        first_event_at = now + READ_S
+        zones = [self.zone_by_id[stage.target_id] for stage in path]
         for pair in itertools.pairwise(zones):
             if pair[0] != pair[1]:
-                name = tuple(sorted(pair))
-                begin = max(first_at, self.free_at[name])
-                first_at = self.free_at[name] = begin + PROMPT_S
-        for index, part in enumerate(path):
-            view.load.started(part.target_id, DEMAND.tokens * len(part.span), not index)
-        if first_at - arrived <= OBJECTIVE_S:
-            self.in_time[int(arrived)] += 1
-        served = first_at - now <= GIVEN_UP_S
-        ends_at = first_at + STREAM_S if served else now + GIVEN_UP_S
-        self.at(ends_at, self.end, view, path)
+                link = tuple(sorted(pair))
+                start = max(first_event_at, self.free_at_by_link[link])
+                first_event_at = self.free_at_by_link[link] = start + PROMPT_S
+        for index, stage in enumerate(path):
+            view.load.started(
+                stage.target_id, DEMAND.tokens * len(stage.span), not index
+            )
+        if first_event_at - arrived <= OBJECTIVE_S:
+            self.on_time_by_second[int(arrived)] += 1
+        served = first_event_at - now <= ABANDON_AFTER_S
+        ends_at = first_event_at + STREAM_S if served else now + ABANDON_AFTER_S
+        self.schedule(ends_at, self.end, view, path)
 
     def end(self, view, path):
-        for index, part in enumerate(path):
-            view.load.ended(part.target_id, DEMAND.tokens * len(part.span), not index)
+        for index, stage in enumerate(path):
+            view.load.ended(stage.target_id, DEMAND.tokens * len(stage.span), not index)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_service_goes_on_while_every_path_crosses(seed):
-    """Each zone loses a range of layers at once, and ten seconds later has it back.
+    """Each zone loses a range of layers at once and gets it back 10 s later.
 
-    A prompt holds a link for 0.4 s, and 18 come a second.  Sent over whatever link
-    looks free, they stand for seconds behind prompts that nobody waits for any more,
-    and nobody is served until long after the layers are back.
+    A prompt occupies a link for 0.4 s, and 18 arrive per second.  If hosts sent them
+    over any link that seems free, they would queue for seconds behind prompts whose
+    callers have left, and no request would be served until long after the layers are
+    back.
     """
-    scene = Scene(seed).play()
-    lost = range(int(LOST_AT) + 1, int(BACK_AT) - 1)
-    assert sum(scene.in_time[s] == 0 for s in lost) == 0
-    for second in range(int(BACK_AT) + 2, int(END) - 1):
-        assert scene.in_time[second] == scene.asked[second]
+    scenario = Scenario(seed).run()
+    outage = range(int(LOST_AT) + 1, int(RESTORED_AT) - 1)
+    assert sum(scenario.on_time_by_second[s] == 0 for s in outage) == 0
+    for second in range(int(RESTORED_AT) + 2, int(END) - 1):
+        assert scenario.on_time_by_second[second] == scenario.requests_by_second[second]
 
 
 def test_calm_fleet_is_not_held_back():
-    scene = Scene(9)
-    scene.lose = lambda: None
-    scene.play()
+    scenario = Scenario(9)
+    scenario.remove_ranges = lambda: None
+    scenario.run()
     for second in range(1, int(END) - 1):
-        assert scene.in_time[second] == scene.asked[second]
+        assert scenario.on_time_by_second[second] == scenario.requests_by_second[second]
--- a/radishfield/forwarding/settings_test.py
+++ b/radishfield/forwarding/settings_test.py
@@ -28,7 +28,7 @@
     return str(path)
 
 
-def test_all_faults_of_a_file_come_back_together(tmp_path):
+def test_all_faults_of_a_file_are_reported_together(tmp_path):
     path = write(tmp_path, promises="revoke = fast\ngrace = 1ms\nnonsense = 1")
     faults = read_settings(path).error
     assert len(faults) == 3
@@ -36,11 +36,11 @@
 
 
 @pytest.mark.parametrize("level", ["info", "warning"])
-def test_a_changed_file_is_taken_while_the_router_runs(tmp_path, level):
+def test_changed_file_is_applied_while_the_router_runs(tmp_path, level):
     """An operator changes the settings and signals the process.
 
-    Whatever the file holds, the process goes on: the callers it serves must not
-    be cut off by a change of settings.
+    Whatever the file holds, the process keeps running: a change of settings must not
+    disconnect the callers that it serves.
     """
     before = logging.getLogger().level
     try:
@@ -57,7 +57,7 @@
     assert logging.getLogger().level == before
 
 
-def test_the_process_lives_through_a_signal_and_ends_on_another(tmp_path):
+def test_process_survives_sighup_and_stops_on_sigterm(tmp_path):
     path = write(tmp_path, promises="grace = 1s")
     command = [sys.executable, "-m", "radishfield.forwarding", "--settings", path]
     process = subprocess.Popen(command, stdout=subprocess.PIPE)
@@ -83,4 +83,4 @@
         fields = json.loads(line)
         if fields["event"] == event:
             return fields
-    raise AssertionError(f"no line {event!r}")
+    raise AssertionError(f"no log line with event {event!r}")
