--- a/radishfield/forwarding/zone_test.py
+++ b/radishfield/forwarding/zone_test.py
@@ -182,14 +182,14 @@
     async def scenario(played, routers):
         missing = set()
 
-        async def look():
+        async def record_missing():
             while True:
                 missing.update(
                     n for n, r in enumerate(routers) if "p1" not in listed(r)
                 )
                 await trio.sleep(0.02)
 
-        played.nursery.start_soon(look)
+        played.nursery.start_soon(record_missing)
         played.store.switches.status = 503
         await trio.sleep(3.1)
         played.store.remove("servers", "p1")
