--- a/proofs/__init__.py
+++ b/proofs/__init__.py
@@ -1,1 +1,1 @@
-"""Proofs of the promises: stateful fuzzing against a small oracle."""
+"""Stateful fuzz tests that check the system's guarantees against small oracles."""
--- a/proofs/__main__.py
+++ b/proofs/__main__.py
@@ -1,9 +1,9 @@
-"""The long fuzz profile: ``python -m proofs --minutes 10 --seed 7``.
+"""Runs the long fuzz profile: ``python -m proofs --minutes 10 --seed 7``.
 
-Runs the state machines in turn, each round under a new seed derived from the
-first one, until the time is over.  Prints what was run: examples, steps and the
-faults that were played.  A failure is shrunk, printed with its seed, and ends
-the run with status 1.
+The state machines run in turn, each round under a new seed derived from the
+first one, until the time is over.  The summary lists the examples, the checked
+steps and the injected faults.  A failure is shrunk, printed with its seed, and
+ends the run with status 1.
 """
 
 import sys
@@ -21,7 +21,7 @@
 from proofs._machine import ServingMachine
 from proofs._profiles import long_profile
 
-# Examples of one round: each machine gets about a quarter of a minute.
+# Examples of one round: each machine runs for about 15 s.
 EXAMPLES_BY_MACHINE = {
     ServingMachine: 50,
     KeyedMachine: 50,
@@ -36,7 +36,7 @@
 @click.option("--machine", "names", multiple=True, help="Only these; all if none.")
 def main(minutes: float, seed: int, names: tuple[str, ...]) -> None:
     """Run rounds of the machines until the time is over."""
-    chosen = {
+    selected = {
         machine: count
         for machine, count in EXAMPLES_BY_MACHINE.items()
         if not names or machine.__name__ in names
@@ -46,7 +46,7 @@
     failed = False
     round_number = 0
     while time.monotonic() < ends_at and not failed:
-        for machine, count in chosen.items():
+        for machine, count in selected.items():
             if time.monotonic() >= ends_at:
                 break
             failed = not _run(machine, count, seed + round_number)
@@ -54,27 +54,27 @@
                 break
             examples[machine.__name__] += count
         round_number += 1
-    _report(chosen, examples, seed, round_number)
+    _report(selected, examples, seed, round_number)
     sys.exit(1 if failed else 0)
 
 
 def _run(machine, count: int, seed: int) -> bool:
-    """Run one machine; print and return False if an invariant fails."""
-    began = time.monotonic()
+    """Run one machine; print the failure and return False if an invariant fails."""
+    started_at = time.monotonic()
     try:
         run_state_machine_as_test(seeded(seed)(machine), settings=long_profile(count))
     except Exception:
         traceback.print_exc()
         click.echo(f"{machine.__name__}: FAILED with FUZZ_SEED={seed}")
         return False
-    took_s = time.monotonic() - began
-    click.echo(f"{machine.__name__}: {count} examples, seed {seed}, {took_s:.0f} s")
+    elapsed_s = time.monotonic() - started_at
+    click.echo(f"{machine.__name__}: {count} examples, seed {seed}, {elapsed_s:.0f} s")
     return True
 
 
-def _report(chosen, examples: Counter[str], seed: int, rounds: int) -> None:
+def _report(selected, examples: Counter[str], seed: int, rounds: int) -> None:
     click.echo(f"\nseeds {seed} to {seed + rounds - 1}")
-    for machine in chosen:
+    for machine in selected:
         faults = sum(machine.faults_by_kind.values())
         click.echo(
             f"{machine.__name__}: {examples[machine.__name__]} examples, "
--- a/proofs/_damage.py
+++ b/proofs/_damage.py
@@ -1,7 +1,7 @@
-"""Damaged messages between hosts, decoded in a process of their own.
+"""Fuzzes the decoders of messages between hosts, in a separate process.
 
-A damaged packed message can end the whole process inside the codec; the test
-that starts this module then sees the signal instead of dying with it.
+A damaged packed message can crash the whole process inside the codec.  The test
+that starts this module then sees the signal instead of crashing as well.
 """
 
 import functools
@@ -25,7 +25,7 @@
     {ResultCode.BAD_FRAME, ResultCode.FRAME_TOO_LARGE, ResultCode.SCHEMA_VERSION}
 )
 
-# Each decoder with a message that it takes.
+# Each decoder with a valid message.
 GOOD_BY_DECODER = {
     frames.decode_frame: frames.encode_frame(
         frames.Frame(UPDATE, 1, 5, 6, frames.News("t", b"payload"), updates=(UPDATE,))
@@ -57,7 +57,7 @@
 
 @st.composite
 def damaged(draw, good: bytes) -> bytes:
-    """Return a message that was cut, lengthened, or had bytes changed."""
+    """Return a message that is truncated, extended, or has bytes changed."""
     data = bytearray(good)
     for _ in range(draw(st.integers(0, 4))):
         if data:
@@ -68,7 +68,7 @@
 
 
 def check_good_messages() -> None:
-    """Check that each decoder takes its message undamaged."""
+    """Check that each decoder accepts its undamaged message."""
     for decode, good in GOOD_BY_DECODER.items():
         assert decode(good).is_ok(), decode
 
--- a/proofs/_fleet.py
+++ b/proofs/_fleet.py
@@ -1,9 +1,9 @@
-"""Entry hosts that hold profiles in force, and operators who change them.
+"""Runs entry hosts with active profiles, and operators who change the profiles.
 
-The real peers' network, fact spreading, platform watcher and profile store run
-in virtual time on an in-memory network and a fake platform.  The oracle knows
-what the platform ever stored, what each host had in force and when, and what
-each operator was told.
+The real peer network, fact spreader, platform watcher and profile store run in
+virtual time on an in-memory network and a fake platform.  The oracle records
+every value that the platform stored, which profile versions each host activated
+and in which order, and the answer to each operator.
 """
 
 import random
@@ -32,17 +32,17 @@
 ZONES = 3
 KEYS = (PeerKey(1, b"a secret of 16 bytes"),)
 PROFILE_KIND = "profile"
-# The users ask for "within seconds"; their target page says 8 s.
-IN_FORCE_S = 8.0
-# After a cut or an outage: the longest pause between tries to reach the
-# platform (16 s), a list (4 s), and the peers' own rejoining.
-RECONNECTED_S = 40.0
-# Half as many probes as in the field: they are most of the run's cost.
-PROBE_S = 1.0
-# The settling of a change is bounded in steps; each may wait out a slow call.
+# The requirement is that a change is active "within seconds", at most 8 s.
+ACTIVATION_BOUND_S = 8.0
+# After a partition or an outage: the longest pause between attempts to reach the
+# platform (16 s), a list call (4 s), and the time in which the peers rejoin.
+RECONNECTION_BOUND_S = 40.0
+# Half the production probe rate: probes are most of the run's cost.
+PROBE_INTERVAL_S = 1.0
+# Settling a change takes a bounded number of steps; each may wait for a slow call.
 OPERATOR_BOUND_S = 45.0
-# Codes that say that the change did not happen.
-NOT_CHANGED = frozenset(
+# Result codes which state that the change was not made.
+NOT_CHANGED_CODES = frozenset(
     {
         ResultCode.CHANGE_CONFLICT,
         ResultCode.CHANGE_INVALID,
@@ -54,43 +54,51 @@
 )
 
 
-class History(dict[tuple[str, str], StoredObject]):
-    """The platform's objects, with every value that was ever stored."""
+class ObjectHistory(dict[tuple[str, str], StoredObject]):
+    """The platform's objects by key, with all values ever stored under each key."""
 
     def __init__(self):
         super().__init__()
         self.values_by_key = defaultdict(list)
 
     def __setitem__(self, key, stored):
-        """Store, and remember."""
+        """Store an object and append it to the values of its key."""
         super().__setitem__(key, stored)
         self.values_by_key[key].append(stored)
 
 
 @dataclass(slots=True)
-class Operator:
-    """An operator's change: what was asked and what was told."""
+class OperatorChange:
+    """A change requested by an operator, and the answer to it."""
 
     name: str
-    mark: str
-    asked_at: float
+    marker: str
+    requested_at: float
     answer: Result[Profile, Fault] | None = None
-    told_at: float | None = None
+    answered_at: float | None = None
 
 
 @dataclass(slots=True)
-class Sighting:
-    """What a host had in force, each time that it changed."""
+class ActivationLog:
+    """The profile versions that one incarnation of a host activated, in order."""
 
     host: str
     incarnation: int
     versions: list[tuple[str, int, bool]] = field(default_factory=list)
 
 
-class FleetSeat:
-    """One entry host in its present incarnation."""
+class FleetHost:
+    """One entry host and its current incarnation."""
 
-    __slots__ = ("id", "zone", "address", "incarnation", "store", "scope", "seen")
+    __slots__ = (
+        "id",
+        "zone",
+        "address",
+        "incarnation",
+        "store",
+        "scope",
+        "activations",
+    )
 
     def __init__(self, number: int):
         self.id = f"h{number}"
@@ -99,83 +107,83 @@
         self.incarnation = 0
         self.store: ProfileStore | None = None
         self.scope: trio.CancelScope | None = None
-        self.seen: Sighting | None = None
+        self.activations: ActivationLog | None = None
 
 
 class FleetWorld:
-    """Hosts in three zones, the platform, and all that may come between."""
+    """Hosts in three zones, the platform, and the faults between them."""
 
-    def __init__(self, seed: int, hosts: int):
+    def __init__(self, seed: int, host_count: int):
         self.loop = Loop(seed)
         self.network = MemoryNetwork(seed)
         self.platform = FakePlatform(TrioClock())
-        self.history = History()
+        self.history = ObjectHistory()
         self.platform.state.objects_by_key = self.history
-        self.seats = [FleetSeat(number) for number in range(hosts)]
-        self.operators: list[Operator] = []
-        self.sightings: list[Sighting] = []
-        self.cut_pairs: set[frozenset[str]] = set()
-        self.cut_from_platform: set[str] = set()
+        self.seats = [FleetHost(number) for number in range(host_count)]
+        self.operator_changes: list[OperatorChange] = []
+        self.activation_logs: list[ActivationLog] = []
+        self.partitioned_pairs: set[frozenset[str]] = set()
+        self.zones_without_platform: set[str] = set()
         self.disturbed_at = 0.0
-        self.network.faults.is_cut = self._is_cut
-        for seat in self.seats:
-            self.start(seat)
+        self.network.faults.is_cut = self._is_partitioned
+        for host in self.seats:
+            self.start(host)
         self.loop.pass_time(10.0)
 
-    # What may happen.
+    # Actions and faults.
 
     def operate(
         self,
-        seat: FleetSeat,
+        host: FleetHost,
         name: str,
         action: Callable[[ProfileStore, Profile], Awaitable[Result]],
-    ) -> Operator:
-        """Let an operator change a profile through a host."""
-        mark = f"change-{len(self.operators)}"
-        operator = Operator(name, mark, self.loop.now)
-        self.operators.append(operator)
-        store = seat.store
-
-        async def change() -> None:
-            operator.answer = await action(store, Profile(name, mark))
-            operator.told_at = trio.current_time()
-
-        self.loop.start(change)
+    ) -> OperatorChange:
+        """Start an operator's change of a profile through a host."""
+        marker = f"change-{len(self.operator_changes)}"
+        change = OperatorChange(name, marker, self.loop.now)
+        self.operator_changes.append(change)
+        store = host.store
+
+        async def apply_change() -> None:
+            change.answer = await action(store, Profile(name, marker))
+            change.answered_at = trio.current_time()
+
+        self.loop.start(apply_change)
         self.loop.settle()
-        return operator
+        return change
 
-    def start(self, seat: FleetSeat) -> None:
-        """Start a host, or replace it by one that knows nothing."""
+    def start(self, host: FleetHost) -> None:
+        """Start a host, or replace it by a new incarnation without any state."""
         self.disturbed()
-        if seat.scope is not None:
-            seat.scope.cancel()
+        if host.scope is not None:
+            host.scope.cancel()
             self.loop.settle()
-        seat.incarnation += 1
-        seat.scope = trio.CancelScope()
-        self.loop.run(lambda: self._run(seat))
+        host.incarnation += 1
+        host.scope = trio.CancelScope()
+        self.loop.run(lambda: self._run(host))
 
     def cut(self, one: str, other: str) -> None:
-        """Cut two zones from each other."""
+        """Partition two zones from each other."""
         self.disturbed()
-        self.cut_pairs.add(frozenset((one, other)))
+        self.partitioned_pairs.add(frozenset((one, other)))
 
     def cut_platform(self, zone: str) -> None:
-        """Cut a zone from the platform."""
+        """Disconnect a zone from the platform."""
         self.disturbed()
-        self.cut_from_platform.add(zone)
-        self._apply_platform_cuts()
+        self.zones_without_platform.add(zone)
+        self._apply_platform_partitions()
 
     def heal(self) -> None:
-        """End every cut and every fault of the platform."""
+        """End all partitions and all faults of the platform."""
         self.disturbed()
-        self.cut_pairs.clear()
-        self.cut_from_platform.clear()
+        self.partitioned_pairs.clear()
+        self.zones_without_platform.clear()
         faults = self.platform.faults
         faults.delay_s = 0.0
         faults.lost_answers = faults.lost_writes = 0
         faults.skipped_events = faults.stale_reads = 0
         self.network.faults.lost_share = 0.0
-        self._apply_platform_cuts()
+        self._apply_platform_partitions()
         self.set_down(False)
 
     def set_down(self, down: bool) -> None:
@@ -188,29 +196,29 @@
         self.loop.run(switch)
 
     def disturbed(self) -> None:
-        """Note that what reaches what has changed."""
+        """Record that the reachability of hosts or platform has changed."""
         self.disturbed_at = self.loop.now
 
-    # What must hold.
+    # Invariants.
 
     def check(self) -> None:
-        """Check every invariant that must hold at any moment."""
-        for sighting in self.sightings:
-            _check_only_rises(sighting)
+        """Check the invariants that hold at any moment."""
+        for activation_log in self.activation_logs:
+            _check_versions_rise(activation_log)
         self._check_stored()
         self._check_operators()
-        if self.loop.now - self.disturbed_at >= RECONNECTED_S:
-            self._check_in_force()
+        if self.loop.now - self.disturbed_at >= RECONNECTION_BOUND_S:
+            self._check_active_profiles()
 
     def check_end(self) -> None:
         """Check that all hosts agree with the platform once all faults are over."""
         self.heal()
-        self.loop.pass_time(RECONNECTED_S + IN_FORCE_S)
-        assert all(operator.answer is not None for operator in self.operators)
+        self.loop.pass_time(RECONNECTION_BOUND_S + ACTIVATION_BOUND_S)
+        assert all(change.answer is not None for change in self.operator_changes)
         self.check()
 
     def _check_stored(self) -> None:
-        """Each stored version is the next one, and a tombstone is the last."""
+        """Check that stored versions have no gaps, and that a tombstone is the last."""
         for kind, name in self.history:
             if kind != PROFILE_KIND:
                 continue
@@ -221,32 +229,40 @@
             assert True not in retired[:-1], f"{name} was written after it was retired"
 
     def _check_operators(self) -> None:
-        winners: dict[tuple[str, int], str] = {}
-        for operator in self.operators:
-            if operator.answer is None:
-                waited_s = self.loop.now - operator.asked_at
-                assert waited_s <= OPERATOR_BOUND_S, "an operator was told nothing"
+        winner_by_version: dict[tuple[str, int], str] = {}
+        for change in self.operator_changes:
+            if change.answer is None:
+                waited_s = self.loop.now - change.requested_at
+                assert waited_s <= OPERATOR_BOUND_S, "an operator got no answer in time"
                 continue
             stored = {
                 profile.model if not profile.retired else None
-                for profile in self._stored(operator.name)
+                for profile in self._stored(change.name)
             }
-            match operator.answer:
+            match change.answer:
                 case Result(tag="ok", ok=profile):
-                    place = operator.name, profile.version
-                    assert place not in winners, f"two operators won {place}"
-                    winners[place] = operator.mark
+                    version = change.name, profile.version
+                    assert (
+                        version not in winner_by_version
+                    ), f"two operators both wrote {version}"
+                    winner_by_version[version] = change.marker
                     if not profile.retired:
-                        assert operator.mark in stored, "told done, but never stored"
+                        assert (
+                            change.marker in stored
+                        ), "reported as done, but never stored"
                 case Result(tag="error", error=problem):
-                    if problem.code in NOT_CHANGED:
-                        assert operator.mark not in stored, f"told {problem}, but done"
-
-    def _check_in_force(self) -> None:
-        """Check that connected hosts agree, and with the platform if reached."""
-        told = [operator.told_at for operator in self.operators if operator.told_at]
-        unsettled = any(operator.answer is None for operator in self.operators)
-        if unsettled or self.loop.now - max(told, default=0.0) < IN_FORCE_S:
+                    if problem.code in NOT_CHANGED_CODES:
+                        assert (
+                            change.marker not in stored
+                        ), f"reported as {problem}, but stored"
+
+    def _check_active_profiles(self) -> None:
+        """Check that connected hosts agree, and match the platform if they reach it."""
+        answered = [
+            change.answered_at for change in self.operator_changes if change.answered_at
+        ]
+        unsettled = any(change.answer is None for change in self.operator_changes)
+        if unsettled or self.loop.now - max(answered, default=0.0) < ACTIVATION_BOUND_S:
             return
         in_platform = {
             name: self._stored(name)[-1].version
@@ -255,39 +271,42 @@
         }
         for zones in self._components():
             versions = [
-                seat.store.version_by_name()
-                for seat in self.seats
-                if seat.zone in zones
+                host.store.version_by_name()
+                for host in self.seats
+                if host.zone in zones
             ]
-            reached = zones - self.cut_from_platform and not self.platform.faults.down
-            expected = in_platform if reached else versions[0]
+            reaches_platform = (
+                zones - self.zones_without_platform and not self.platform.faults.down
+            )
+            expected = in_platform if reaches_platform else versions[0]
             for each in versions:
-                assert each == expected, f"{zones}: {each} in force, not {expected}"
+                assert each == expected, f"{zones}: {each} active, not {expected}"
 
     def _components(self) -> list[set[str]]:
         """Return the sets of zones that can reach each other."""
-        left = {seat.zone for seat in self.seats}
+        remaining = {host.zone for host in self.seats}
         components = []
-        while left:
-            component = {left.pop()}
+        while remaining:
+            component = {remaining.pop()}
             grown = True
             while grown:
-                near = {
+                reachable = {
                     zone
-                    for zone in left
+                    for zone in remaining
                     if any(
-                        frozenset((zone, c)) not in self.cut_pairs for c in component
+                        frozenset((zone, c)) not in self.partitioned_pairs
+                        for c in component
                     )
                 }
-                grown = bool(near)
-                component |= near
-                left -= near
+                grown = bool(reachable)
+                component |= reachable
+                remaining -= reachable
             components.append(component)
         return components
 
-    def _is_near(self, zone: str, component: set[str]) -> bool:
+    def _is_reachable(self, zone: str, component: set[str]) -> bool:
         pairs = {frozenset((zone, other)) for other in component}
-        return bool(pairs - self.cut_pairs)
+        return bool(pairs - self.partitioned_pairs)
 
     def _stored(self, name: str) -> list[Profile]:
         return [
@@ -295,51 +314,61 @@
             for stored in self.history.values_by_key[PROFILE_KIND, name]
         ]
 
-    def _is_cut(self, one: str, other: str) -> bool:
-        zone_by_address = {seat.address: seat.zone for seat in self.seats}
+    def _is_partitioned(self, one: str, other: str) -> bool:
+        zone_by_address = {host.address: host.zone for host in self.seats}
         pair = frozenset((zone_by_address[one], zone_by_address[other]))
-        return pair in self.cut_pairs
+        return pair in self.partitioned_pairs
 
-    def _apply_platform_cuts(self) -> None:
+    def _apply_platform_partitions(self) -> None:
         async def apply() -> None:
             cut_off = self.platform.faults.cut_off
             cut_off.clear()
             cut_off.update(
-                seat.id for seat in self.seats if seat.zone in self.cut_from_platform
+                host.id
+                for host in self.seats
+                if host.zone in self.zones_without_platform
             )
             self.platform.state.wake()
 
         self.loop.run(apply)
 
-    async def _run(self, seat: FleetSeat) -> None:
+    async def _run(self, host: FleetHost) -> None:
         clock = TrioClock()
-        chance = random.Random(f"{seat.id}.{seat.incarnation}")
-        seeds = tuple(each.address for each in self.seats[:ZONES])
+        rng = random.Random(f"{host.id}.{host.incarnation}")
+        seeds = tuple(other.address for other in self.seats[:ZONES])
         settings = PeerSettings(
-            seat.id, seat.zone, seat.address, KEYS, seeds, PROBE_S, seat.incarnation
+            host.id,
+            host.zone,
+            host.address,
+            KEYS,
+            seeds,
+            PROBE_INTERVAL_S,
+            host.incarnation,
         )
-        transport = self.network.transport(seat.address)
-        peers = PeerNetwork(settings, clock, transport, chance)
+        transport = self.network.transport(host.address)
+        peers = PeerNetwork(settings, clock, transport, rng)
         facts = FactTable()
-        port = self.platform.as_caller(seat.id)
-        seat.store = ProfileStore(port, facts)
-        seat.seen = Sighting(seat.id, seat.incarnation)
-        self.sightings.append(seat.seen)
-        store, seen = seat.store, seat.seen
+        port = self.platform.as_caller(host.id)
+        host.store = ProfileStore(port, facts)
+        host.activations = ActivationLog(host.id, host.incarnation)
+        self.activation_logs.append(host.activations)
+        store, activations = host.store, host.activations
 
-        def look(fact: StoredObject) -> None:
+        def record_activation(fact: StoredObject) -> None:
             profile = store.show(fact.name)
             if profile.is_ok():
-                seen.versions.append(
+                activations.versions.append(
                     (fact.name, profile.ok.version, profile.ok.retired)
                 )
 
-        facts.listen(PROFILE_KIND, look)
-        who = SpreadSettings(seat.id, seat.zone)
-        watch = WatcherSettings(seat.id, seat.zone)
-        spreader = FactSpreader(who, peers, facts, clock, chance)
-        watcher = PlatformWatcher(watch, port, peers, facts, clock, chance=chance)
-        scope = seat.scope
+        facts.listen(PROFILE_KIND, record_activation)
+        spread_settings = SpreadSettings(host.id, host.zone)
+        watcher_settings = WatcherSettings(host.id, host.zone)
+        spreader = FactSpreader(spread_settings, peers, facts, clock, rng)
+        watcher = PlatformWatcher(
+            watcher_settings, port, peers, facts, clock, chance=rng
+        )
+        scope = host.scope
 
         async def serve() -> None:
             with scope:
@@ -350,11 +379,13 @@
         self.loop.start(serve)
 
 
-def _check_only_rises(sighting: Sighting) -> None:
+def _check_versions_rise(activation_log: ActivationLog) -> None:
     last: dict[str, tuple[int, bool]] = {}
-    for name, version, retired in sighting.versions:
+    for name, version, retired in activation_log.versions:
         known_version, was_retired = last.get(name, (0, False))
-        who = f"{sighting.host}.{sighting.incarnation}: {name}"
-        assert version >= known_version, f"{who} fell to version {version}"
-        assert retired or not was_retired, f"{who} came back from its tombstone"
+        host_label = f"{activation_log.host}.{activation_log.incarnation}: {name}"
+        assert version >= known_version, f"{host_label} went back to version {version}"
+        assert (
+            retired or not was_retired
+        ), f"{host_label} is active again after its tombstone"
         last[name] = (version, retired)
--- a/proofs/_fleet_machine.py
+++ b/proofs/_fleet_machine.py
@@ -1,4 +1,4 @@
-"""The state machine that plays operators and cuts against the fleet."""
+"""The state machine that runs operators and partitions against the fleet."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import (
--- a/proofs/_fleet_mutations.py
+++ b/proofs/_fleet_mutations.py
@@ -1,4 +1,4 @@
-"""Deliberate faults of profiles and their spread; see `_serving_mutations`."""
+"""Deliberate faults in profiles and their spread; see `_serving_mutations`."""
 
 from dataclasses import replace
 
@@ -11,7 +11,7 @@
 
 
 def versions_may_fall(patch: pytest.MonkeyPatch) -> None:
-    """Take in whatever comes last, also from an old read or a stale peer."""
+    """Accept whatever arrives last, also from an old read or a stale peer."""
     real_learn, real_take_in = FactTable.learn, ProfileStore._take_in
 
     def learn(self, fact, spread=True):
@@ -27,7 +27,7 @@
 
 
 def change_what_is_retired(patch: pytest.MonkeyPatch) -> None:
-    """Write a profile anew over its tombstone."""
+    """Write a profile again over its tombstone."""
     real = profiles_module._decode
 
     def decode(stored):
@@ -37,7 +37,7 @@
 
 
 def last_writer_wins(patch: pytest.MonkeyPatch) -> None:
-    """Write over the change of an operator who was quicker."""
+    """Overwrite the change of an operator whose write came first."""
 
     async def write(platform, wanted, carries):
         for _ in range(3):
@@ -55,7 +55,7 @@
 
 
 def lost_answer_is_taken_for_a_failure(patch: pytest.MonkeyPatch) -> None:
-    """Tell the operator that nothing was written when the answer was lost."""
+    """Report to the operator that nothing was written when the answer was lost."""
 
     async def write(platform, wanted, carries):
         written = await platform.write(
@@ -69,7 +69,7 @@
 
 
 def lost_answer_is_taken_for_done(patch: pytest.MonkeyPatch) -> None:
-    """Tell the operator that all is done when the answer was lost."""
+    """Report to the operator that the change was made when the answer was lost."""
 
     async def write(platform, wanted, carries):
         written = await platform.write(
@@ -83,7 +83,7 @@
 
 
 def no_repair_between_peers(patch: pytest.MonkeyPatch) -> None:
-    """Never compare what two hosts know."""
+    """Never compare the facts of two hosts."""
 
     async def exchange(self, member_id):
         return Ok(None)
--- a/proofs/_keyed_machine.py
+++ b/proofs/_keyed_machine.py
@@ -1,4 +1,4 @@
-"""The state machine that plays repeats of keys against several entry hosts."""
+"""The state machine that sends repeated keys to several entry hosts."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import (
--- a/proofs/_keyed_mutations.py
+++ b/proofs/_keyed_mutations.py
@@ -1,4 +1,4 @@
-"""Deliberate faults of claims; see `proofs._serving_mutations`."""
+"""Deliberate faults in claims; see `proofs._serving_mutations`."""
 
 from dataclasses import replace
 
@@ -15,7 +15,7 @@
 
 
 def grant_without_the_platform(patch: pytest.MonkeyPatch) -> None:
-    """Run as soon as the claim is on its way to the platform."""
+    """Run without waiting for the platform to store the claim."""
 
     async def write(self, slot, record, lifetime_s):
         return Ok(None)
@@ -24,7 +24,7 @@
 
 
 def take_a_lost_claim_for_released(patch: pytest.MonkeyPatch) -> None:
-    """Take a claim of which nobody can say how it went for one that never ran."""
+    """Treat a claim with an unknown outcome as one that never ran."""
     real = claims_module._unknown
     patch.setattr(
         claims_module,
@@ -43,7 +43,7 @@
 
 
 def forget_at_the_deadline(patch: pytest.MonkeyPatch) -> None:
-    """Remember a key only while its first copy may still run."""
+    """Keep a key only while its first copy may still run."""
     real = Claims.claim
 
     async def claim(self, workspace, key, digest, request_id, expires_at):
@@ -59,7 +59,7 @@
 
 
 def tell_a_repeat_not_run(patch: pytest.MonkeyPatch) -> None:
-    """Tell a repeat "not run" although the first copy ran."""
+    """Report "not run" to a repeat although the first copy ran."""
     real = Dispatcher.call_service
 
     async def call_service(self, request):
--- a/proofs/_leases.py
+++ b/proofs/_leases.py
@@ -1,4 +1,4 @@
-"""Hosts that contend for a lease, and targets that take orders under it."""
+"""Runs hosts that contend for a lease, and targets that take orders under it."""
 
 import random
 from dataclasses import dataclass
@@ -34,45 +34,45 @@
 HOSTS = ("h0", "h1", "h2")
 # All hold the same layers, so that no order is refused for the last replica.
 TARGETS = 4
-# After the last fault: the old lease (12 s and a tenth), the pauses between
-# tries (3.3 s), and the settling of a write.
-ACQUIRED_S = 40.0
+# After the last fault: the old lease (12 s plus a tenth), the pauses between
+# attempts (3.3 s), and the settling of a write.
+ACQUISITION_BOUND_S = 40.0
 
 
 class Pause:
-    """Stands a host still: whatever it sends waits until it goes on."""
+    """Suspends a host: whatever it sends waits until it resumes."""
 
     def __init__(self):
-        self._goes_on = trio.Event()
-        self._goes_on.set()
-        self.lost_s = 0.0
-        self._since: float | None = None
+        self._resumed = trio.Event()
+        self._resumed.set()
+        self.paused_s = 0.0
+        self._paused_since: float | None = None
 
     @property
     def is_paused(self) -> bool:
-        """Return whether the host stands still."""
-        return self._since is not None
+        """Return whether the host is suspended."""
+        return self._paused_since is not None
 
     def begin(self, now: float) -> None:
-        """Stop."""
+        """Suspend the host."""
         if not self.is_paused:
-            self._since = now
-            self._goes_on = trio.Event()
+            self._paused_since = now
+            self._resumed = trio.Event()
 
     def end(self, now: float) -> None:
-        """Go on."""
+        """Resume the host."""
         if self.is_paused:
-            self.lost_s += now - self._since
-            self._since = None
-            self._goes_on.set()
+            self.paused_s += now - self._paused_since
+            self._paused_since = None
+            self._resumed.set()
 
-    async def passed(self) -> None:
+    async def wait_until_running(self) -> None:
         """Wait until the host runs."""
-        await self._goes_on.wait()
+        await self._resumed.wait()
 
 
 class HostClock:
-    """The host's clock, which counts while the host stands still."""
+    """The host's clock, which also advances while the host is suspended."""
 
     def __init__(self, pause: Pause):
         self.pause = pause
@@ -83,20 +83,20 @@
 
 
 class PausedPort:
-    """A port whose calls and answers wait while the host stands still."""
+    """A port whose calls and answers wait while the host is suspended."""
 
     def __init__(self, port: object, pause: Pause):
         self._port = port
         self._pause = pause
 
     def __getattr__(self, name: str):
-        """Return a call of the port behind."""
+        """Return a method of the wrapped port that waits for the host to run."""
         call = getattr(self._port, name)
 
         async def paused(*arguments):
-            await self._pause.passed()
+            await self._pause.wait_until_running()
             answer = await call(*arguments)
-            await self._pause.passed()
+            await self._pause.wait_until_running()
             return answer
 
         return paused
@@ -116,29 +116,29 @@
 
     def __init__(self):
         self.starts: list[OrderStart] = []
-        self.highest_by_target: dict[str, int] = {}
+        self.highest_fencing_by_target: dict[str, int] = {}
         self.lag_s = 0.0
 
     async def order(self, target: Target, order: TargetOrder) -> Result[None, Fault]:
         """Start an order after the lag, unless it is fenced or too late.
 
-        The target works on when its caller has given up waiting.
+        The target continues when its caller has timed out.
         """
-        highest = self.highest_by_target.get(target.id, 0)
-        if target.checks_fencing and order.fencing < highest:
+        highest_fencing = self.highest_fencing_by_target.get(target.id, 0)
+        if target.checks_fencing and order.fencing < highest_fencing:
             return Error(fault(ResultCode.ORDER_FENCED))
-        self.highest_by_target[target.id] = max(highest, order.fencing)
+        self.highest_fencing_by_target[target.id] = max(highest_fencing, order.fencing)
         with trio.CancelScope(shield=True):
             await trio.sleep(min(self.lag_s, order.timeout_s * 0.98))
         if target.checks_fencing:
-            if order.fencing < self.highest_by_target[target.id]:
+            if order.fencing < self.highest_fencing_by_target[target.id]:
                 return Error(fault(ResultCode.ORDER_FENCED))
         self.starts.append(OrderStart(target.id, order.fencing, trio.current_time()))
         return Ok(None)
 
 
-class Zone:
-    """A `PeerPort` of which only the members are asked."""
+class ZoneMembers:
+    """A `PeerPort` of which only the members are queried."""
 
     def __init__(self):
         self.leaving: set[str] = set()
@@ -158,7 +158,7 @@
 
 
 class LeaseHost:
-    """One host: its lease keeper and its sender of orders."""
+    """One host with its lease keeper and order sender."""
 
     def __init__(self, host_id: str, world: "LeaseWorld"):
         self.id = host_id
@@ -183,20 +183,20 @@
 
 
 class LeaseWorld:
-    """Three contenders, the platform, and targets of both kinds."""
+    """Three contenders, the platform, and targets with and without fencing checks."""
 
     def __init__(self, seed: int):
         self.loop = Loop(seed)
         self.platform = FakePlatform(TrioClock())
         self.targets = OrderTargets()
-        self.zone = Zone()
+        self.zone = ZoneMembers()
         self.hosts = [LeaseHost(host_id, self) for host_id in HOSTS]
         for host in self.hosts:
             self.loop.start(host.keeper.run)
         self.loop.pass_time(5.0)
 
     def send(self, host_index: int, target_index: int) -> None:
-        """Let a host give an order, if it thinks that it may."""
+        """Let a host send an order, if it assumes that it holds the lease."""
         host = self.hosts[host_index]
         order = ProposedOrder(f"target-{target_index}", "set-role", "prefill")
         self.loop.start(lambda: host.sender.send(order))
@@ -211,7 +211,7 @@
             self.loop.settle()
 
     def holders(self) -> list[str]:
-        """Return the hosts that hold the lease by their own count."""
+        """Return the hosts that hold the lease according to their own keepers."""
 
         async def ask() -> list[str]:
             return [host.id for host in self.hosts if host.keeper.check().is_ok()]
@@ -219,17 +219,19 @@
         return self.loop.run(ask)
 
     def check(self) -> None:
-        """Check that there is one holder, and that no old order follows a new."""
+        """Check that there is at most one holder, and no old order after a new one."""
         holders = self.holders()
         assert len(holders) <= 1, f"{holders} all hold the lease"
-        highest_by_target: dict[str, int] = {}
+        highest_fencing_by_target: dict[str, int] = {}
         for start in self.targets.starts:
-            highest = highest_by_target.get(start.target_id, 0)
-            assert start.fencing >= highest, f"{start} after fencing number {highest}"
-            highest_by_target[start.target_id] = start.fencing
+            highest_fencing = highest_fencing_by_target.get(start.target_id, 0)
+            assert (
+                start.fencing >= highest_fencing
+            ), f"{start} after fencing number {highest_fencing}"
+            highest_fencing_by_target[start.target_id] = start.fencing
 
     def check_end(self) -> None:
-        """Check that somebody gets the lease once all faults are over."""
+        """Check that a host acquires the lease once all faults are over."""
         faults = self.platform.faults
         faults.delay_s = 0.0
         faults.lost_answers = faults.lost_writes = faults.stale_reads = 0
@@ -237,9 +239,9 @@
         self.loop.run(self._platform_up)
         for host in self.hosts:
             host.pause.end(self.loop.now)
-        self.loop.pass_time(ACQUIRED_S)
+        self.loop.pass_time(ACQUISITION_BOUND_S)
         self.check()
-        assert len(self.holders()) == 1, "nobody got the lease"
+        assert len(self.holders()) == 1, "no host acquired the lease"
 
     async def _platform_up(self) -> None:
         self.platform.set_down(False)
--- a/proofs/_leases_machine.py
+++ b/proofs/_leases_machine.py
@@ -1,4 +1,4 @@
-"""The state machine that plays pauses and outages against leases and orders."""
+"""The state machine that runs pauses and outages against leases and orders."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import (
--- a/proofs/_leases_mutations.py
+++ b/proofs/_leases_mutations.py
@@ -1,4 +1,4 @@
-"""Deliberate faults of leases and orders; see `_serving_mutations`."""
+"""Deliberate faults in leases and orders; see `_serving_mutations`."""
 
 from dataclasses import replace
 
@@ -13,19 +13,19 @@
 
 
 def clock_stands_still_while_suspended(patch: pytest.MonkeyPatch) -> None:
-    """Count no time that the host did not run, as ``CLOCK_MONOTONIC`` does."""
+    """Count no time while the host is suspended, as ``CLOCK_MONOTONIC`` does."""
 
     def now(self):
-        running = trio.current_time() - self.pause.lost_s
+        running_s = trio.current_time() - self.pause.paused_s
         if self.pause.is_paused:
-            running -= trio.current_time() - self.pause._since
-        return running
+            running_s -= trio.current_time() - self.pause._paused_since
+        return running_s
 
     patch.setattr(HostClock, "now", now)
 
 
 def count_the_lease_from_the_answer(patch: pytest.MonkeyPatch) -> None:
-    """Start the lease's time when its renewal is answered, not when it is sent."""
+    """Count the lease from the answer to its renewal, not from the request."""
     real = LeaseKeeper.step
 
     async def step(self):
@@ -39,12 +39,12 @@
 
 
 def take_over_too_soon(patch: pytest.MonkeyPatch) -> None:
-    """Take a lease over before it has lapsed."""
+    """Take over a lease before it has expired."""
     patch.setattr(leases_module, "DRIFT_ALLOWANCE", 0.5)
 
 
 def hold_without_end(patch: pytest.MonkeyPatch) -> None:
-    """Go by what was last heard, whatever time has passed."""
+    """Rely on the last renewal, no matter how long ago it was."""
 
     def check(self, for_s=0.0):
         if self._held is None:
@@ -55,7 +55,7 @@
 
 
 def do_not_wait_old_orders_out(patch: pytest.MonkeyPatch) -> None:
-    """Give orders at once to targets that ignore fencing numbers."""
+    """Send orders at once to targets that ignore fencing numbers."""
 
     async def wait_out(self, held):
         await trio.lowlevel.checkpoint()
--- a/proofs/_loop.py
+++ b/proofs/_loop.py
@@ -1,10 +1,10 @@
 """Runs trio tasks in virtual time from plain calls, such as hypothesis rules.
 
-Hypothesis calls its rules as ordinary functions while trio wants to own the
-loop.  A guest run settles that: the queue in this module is the host loop, a
-rule hands tasks in and pumps the queue until it has what it waits for.  Time
-moves only inside `Loop.pass_time`, from one deadline to the next, and trio's
-order of ready tasks is seeded; so a seed repeats the same run.
+Hypothesis calls its rules as ordinary functions, whereas trio normally owns the
+event loop.  Therefore trio runs in guest mode, with the queue in this module as
+the host loop: a rule starts tasks and pumps the queue until its condition holds.
+Time advances only inside `Loop.pass_time`, from one deadline to the next, and
+trio's order of ready tasks is seeded, so that a seed reproduces the same run.
 """
 
 import queue
@@ -13,24 +13,24 @@
 import trio
 import trio.testing
 
-# A rule takes some thousand ticks at most; more means that tasks wake each
-# other for ever without time passing, which would hang the test instead.
+# A rule takes a few thousand ticks at most.  More than this limit means that tasks
+# wake each other for ever without time passing, which would hang the test.
 MAX_TICKS = 400_000
 Job = Callable[[], Awaitable[object]]
 
 
 class LoopStuckError(AssertionError):
-    """The tasks kept running without getting anywhere."""
+    """The tasks kept running without any progress."""
 
 
 class Loop:
-    """A trio run under a `MockClock` that moves on only when told to."""
+    """A trio run under a `MockClock` that advances only in `pass_time`."""
 
     __slots__ = ("_ready", "_outcome", "_nursery", "_stop", "_clock")
 
     def __init__(self, seed: int):
-        # Trio has no public switch for a repeatable order of ready tasks; these
-        # are the names that its own hypothesis plugin sets.
+        # Trio has no public switch for a reproducible order of ready tasks.  Its own
+        # hypothesis plugin sets the same private names.
         trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True
         trio._core._run._r.seed(seed)
         self._ready: queue.SimpleQueue = queue.SimpleQueue()
@@ -53,7 +53,7 @@
         return self._clock.current_time()
 
     def start(self, job: Job) -> None:
-        """Start a task; it first runs when the loop is pumped next."""
+        """Start a task, which first runs when the loop is pumped next."""
         self._nursery.start_soon(job)
 
     def run(self, job: Job) -> object:
@@ -68,11 +68,11 @@
         return results[0]
 
     def settle(self) -> None:
-        """Let every task run until all wait, without time passing."""
+        """Run all tasks until every one of them waits, without time passing."""
         self.run(trio.testing.wait_all_tasks_blocked)
 
     def pass_time(self, seconds: float) -> None:
-        """Let time pass from deadline to deadline, then settle."""
+        """Advance the time from deadline to deadline, then settle."""
 
         async def sleep() -> None:
             await trio.sleep(seconds)
@@ -86,7 +86,7 @@
         return bool(self._outcome)
 
     def close(self) -> None:
-        """Cancel what still runs, and raise what a task raises on its way out."""
+        """Cancel all running tasks, and raise what a task raises on its way out."""
         if self.has_crashed:
             return
         self._nursery.cancel_scope.cancel()
@@ -105,4 +105,4 @@
             if self._outcome and not through_end:
                 self._outcome[0].unwrap()
             self._ready.get(timeout=10)()
-        raise LoopStuckError(f"no end after {MAX_TICKS} ticks")
+        raise LoopStuckError(f"tasks still running after {MAX_TICKS} ticks")
--- a/proofs/_machine.py
+++ b/proofs/_machine.py
@@ -1,4 +1,4 @@
-"""The state machine that plays callers and faults against the dispatcher."""
+"""The state machine that runs callers and faults against the dispatcher."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import (
@@ -12,8 +12,8 @@
 from proofs._world_machine import WorldMachine
 from radishfield.serving import Dispatcher
 
-# Figures drawn by rules: few distinct values, so that shrinking is quick and
-# deadlines, idle limits and steps fall on both sides of each other.
+# Values drawn by rules.  They are few, so that shrinking is quick, and such that
+# deadlines may be shorter or longer than idle limits and steps.
 DEADLINES_S = st.sampled_from((0.05, 0.5, 3.0, 8.0))
 TOKENS = st.integers(1, 6)
 ENGINE_INDEX = st.integers(0, 11)
--- a/proofs/_profiles.py
+++ b/proofs/_profiles.py
@@ -6,9 +6,9 @@
 
 
 def ci_profile(examples: int) -> settings:
-    """Return settings that give the same verdict each time, in bounded time.
+    """Return settings that give the same result each time, in bounded time.
 
-    A failure is not shrunk here, which may take minutes; ``make fuzz`` does.
+    Failures are not shrunk, because that may take minutes; ``make fuzz`` does it.
     """
     return settings(
         max_examples=examples,
@@ -23,7 +23,7 @@
 
 
 def long_profile(examples: int) -> settings:
-    """Return settings whose examples follow a seed that the caller sets."""
+    """Return settings whose examples depend on a seed that the caller sets."""
     return settings(
         ci_profile(examples),
         derandomize=False,
--- a/proofs/_record.py
+++ b/proofs/_record.py
@@ -1,4 +1,4 @@
-"""What the fakes of targets write down: the ground truth of every oracle."""
+"""Records what fake targets ran, as the ground truth of every oracle."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Start:
-    """An attempt that a first stage began."""
+    """An attempt that a first stage started."""
 
     request_id: str
     attempt: int
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class Record:
-    """Everything that targets really ran, in order.
+    """Everything that targets ran, in order.
 
     Attributes
     ----------
@@ -54,15 +54,15 @@
     faults_played: int = 0
 
     def note_start(self, start: Start) -> None:
-        """Write down an attempt that began."""
+        """Record an attempt that started."""
         self.starts.append(start)
         self.runs_by_request[start.request_id] += 1
 
     def note_layers(self, token: TokenKey, run: LayersRun) -> None:
-        """Write down a stage that ran its layers for a token."""
+        """Record a stage that ran its layers for a token."""
         self.layers_by_token.setdefault(token, []).append(run)
 
     def note_call(self, call: ServiceCall) -> None:
-        """Write down a plain call that ran."""
+        """Record a call that a plain service ran."""
         self.calls.append(call)
         self.runs_by_request[call.request_id] += 1
--- a/proofs/_serving.py
+++ b/proofs/_serving.py
@@ -1,4 +1,4 @@
-"""The dispatcher and the decisions among fakes, and the oracle beside them."""
+"""Runs the dispatcher and its scheduler over fakes, with an oracle."""
 
 import gc
 from collections.abc import Iterator
@@ -29,27 +29,28 @@
 MODEL = "small"
 SERVICE_MODEL = "lookup"
 MODEL_LAYERS = 8
-# Replicas stand in turn in two zones, with no known link between them: a route
-# crosses nowhere, and a dead stage sends the request to the other zone's chain.
+# Replicas alternate between two zones with no known link between them: no route
+# crosses zones, and a dead stage sends the request to the other zone's chain.
 ZONES = ("a", "b")
-# The promise is "after a few seconds": a retry that was decided just before may
-# still wait out its pause and the limit on moving a cache.
+# The guarantee is "after a few seconds": a retry that was decided just before may
+# still wait for its pause and for the time limit on moving a cache.
 LEAVING_BOUND_S = 3.0
-# Room for an answer to travel after its deadline: two steps and a wakeup.
+# Time for an answer to arrive after its deadline: two steps and a wakeup.
 END_BOUND_S = 1.0
-# A final answer that follows a decision to give up needs no virtual time.
-AT_ONCE_S = 0.3
+# A final answer after a decision to stop retrying needs no virtual time.
+FINAL_ANSWER_BOUND_S = 0.3
 
 
-# What the product remembers of ended requests on purpose, in bounded number.
-BOUNDED_MEMORIES = frozenset({"Journal"})
-# The leak check looks into these only; trio's own objects hold every task.
+# Classes that keep ended requests on purpose, in bounded number.
+BOUNDED_STORES = frozenset({"Journal"})
+# The leak check follows objects of these modules only, because trio's own objects
+# hold every task.
 OWN_MODULES = frozenset({"radishfield", "proofs", "collections"})
 
 
 @dataclass(slots=True, eq=False)
 class Caller:
-    """A caller, what it asked for and what it was told."""
+    """A caller with its request, the tokens it received and its answer."""
 
     request: Request | ServiceRequest
     push_s: float = 0.0
@@ -66,34 +67,34 @@
             await trio.sleep(self.push_s)
 
 
-class WatchedNotes(dict[str, float]):
-    """Figures by request that only the oracle holds; no leak."""
+class OracleRecords(dict[str, float]):
+    """Values by request that only the oracle holds, and that are not a leak."""
 
 
-class WatchedScheduler(Scheduler):
-    """The scheduler, with notes of what it decided and what it was told."""
+class RecordingScheduler(Scheduler):
+    """A scheduler that records its refusals and the progress reported to it."""
 
     __slots__ = ("given_up_at", "position_by_request")
 
     def __init__(self):
         super().__init__()
-        self.given_up_at = WatchedNotes()
-        self.position_by_request = WatchedNotes()
+        self.given_up_at = OracleRecords()
+        self.position_by_request = OracleRecords()
 
     def progressed(self, request_id, position, now):
-        """Note the latest position that it was told of."""
+        """Record the latest position reported to the scheduler."""
         super().progressed(request_id, position, now)
         self.position_by_request[request_id] = position
 
     def offer(self, work, now):
-        """Note a refusal."""
+        """Record a refusal."""
         decision = super().offer(work, now)
         if isinstance(decision, Refused):
             self.given_up_at.setdefault(work.request_id, now)
         return decision
 
     def take(self, now):
-        """Note each expiry."""
+        """Record each expiry."""
         decisions = super().take(now)
         for decision in decisions:
             if isinstance(decision, Expired):
@@ -101,7 +102,7 @@
         return decisions
 
     def failed(self, failure, now):
-        """Note a request that gets no further attempt."""
+        """Record a request that gets no further attempt."""
         decision = super().failed(failure, now)
         if isinstance(decision, GiveUp):
             self.given_up_at.setdefault(failure.request_id, now)
@@ -109,28 +110,28 @@
 
 
 class ServingWorld:
-    """One entry host's dispatcher among fake targets, in virtual time."""
+    """One entry host's dispatcher with fake targets, in virtual time."""
 
     def __init__(self, seed: int, stages: int, replicas: int):
         self.loop = Loop(seed)
-        self.listed = {target.id: target for target in _targets(stages, replicas)}
-        self.targets = FakeTargets(list(self.listed.values()))
+        self.target_by_id = {target.id: target for target in _targets(stages, replicas)}
+        self.targets = FakeTargets(list(self.target_by_id.values()))
         self.loop.start(self.targets.run)
-        self.scheduler = WatchedScheduler()
+        self.scheduler = RecordingScheduler()
         self.dispatcher = Dispatcher(self.scheduler, self.targets, TrioClock())
         if hasattr(self.dispatcher, "run"):
             self.loop.start(self.dispatcher.run)
         self.callers: list[Caller] = []
         self.leaving_since: dict[str, float] = {}
-        self._tell_targets()
+        self._update_targets()
         self.loop.settle()
 
-    # What may happen.
+    # Actions and faults.
 
     def send(
         self, idempotent: bool, max_tokens: int, deadline_s: float, push_s: float
     ) -> Caller:
-        """Let a new caller ask for an answer of the model."""
+        """Let a new caller send a request to the model."""
         now = self.loop.now
         number = len(self.callers)
         request = Request(
@@ -173,17 +174,18 @@
         self.loop.settle()
 
     def drain(self, target_id: str) -> None:
-        """Tell the dispatcher that a target is leaving."""
-        self.listed[target_id] = replace(
-            self.listed[target_id], state=TargetState.LEAVING
+        """Report to the dispatcher that a target is leaving."""
+        self.target_by_id[target_id] = replace(
+            self.target_by_id[target_id], state=TargetState.LEAVING
         )
         self.leaving_since.setdefault(target_id, self.loop.now)
-        self._tell_targets()
+        self._update_targets()
 
     def report_leaving(self, target_id: str) -> None:
-        """Let a target say that it is leaving, while the list lags behind.
+        """Let a target report that it is leaving, while the list lags behind.
 
-        Another target's change brings the list again, still with this one live.
+        A change of another target delivers the list again, where this one is still
+        live.
         """
         self.leaving_since.setdefault(target_id, self.loop.now)
         report = self.loop.run(
@@ -193,12 +195,12 @@
             self.dispatcher.observe_load(replace(report.ok, leaving=True))
         else:
             self.leaving_since.pop(target_id)
-        other = next(iter(self.listed.values()))
-        self.listed[other.id] = replace(other, speed_tps=other.speed_tps + 1)
-        self._tell_targets()
+        other = next(iter(self.target_by_id.values()))
+        self.target_by_id[other.id] = replace(other, speed_tps=other.speed_tps + 1)
+        self._update_targets()
 
     def tell_load(self) -> None:
-        """Let every target that can be reached tell its load."""
+        """Let every reachable target report its load."""
 
         async def ask() -> list[Result]:
             engines = self.targets.by_id.values()
@@ -209,11 +211,11 @@
                 self.dispatcher.observe_load(report.ok)
 
     def revive(self, target_id: str) -> None:
-        """Start a target anew and list it as live."""
+        """Start a target again and list it as live."""
         self.targets.revive(target_id)
-        self.listed[target_id] = self.targets.by_id[target_id].target
+        self.target_by_id[target_id] = self.targets.by_id[target_id].target
         self.leaving_since.pop(target_id, None)
-        self._tell_targets()
+        self._update_targets()
 
     def heads(self) -> list[FakeEngine]:
         """Return the engines that can be the first stage of a route."""
@@ -225,7 +227,7 @@
         ]
 
     def end_faults(self) -> None:
-        """End every fault; dead targets start again."""
+        """End every fault, and start dead targets again."""
         for target_id, engine in self.targets.by_id.items():
             engine.frozen = False
             engine.refusing = False
@@ -237,16 +239,16 @@
         self.loop.settle()
 
     def heal(self) -> None:
-        """End every fault, and wait until each caller must have its answer."""
+        """End every fault, and wait until every caller must have its answer."""
         self.end_faults()
         open_callers = [caller for caller in self.callers if caller.ended_at is None]
-        last = max((c.request.deadline for c in open_callers), default=0.0)
-        self.loop.pass_time(max(0.0, last - self.loop.now) + END_BOUND_S)
+        latest_deadline = max((c.request.deadline for c in open_callers), default=0.0)
+        self.loop.pass_time(max(0.0, latest_deadline - self.loop.now) + END_BOUND_S)
 
-    # What must hold.
+    # Invariants.
 
     def check(self) -> None:
-        """Check every invariant that must hold at any moment."""
+        """Check the invariants that hold at any moment."""
         for caller in self.callers:
             self._check_tokens(caller)
             self._check_runs(caller)
@@ -258,22 +260,26 @@
         self._check_leaving()
 
     def check_end(self) -> None:
-        """Check that, once all faults are over, all ends and nothing is left."""
+        """Check that all requests end and leave no state once all faults are over."""
         self.heal()
         self.check()
         assert all(caller.ended_at is not None for caller in self.callers)
         assert self.targets.record.open_streams == 0, "a stream was left open"
         ids = {caller.request.id for caller in self.callers}
-        left = sorted(set(kept_keys(self.dispatcher, ids)))
-        assert not left, f"ended requests are still held: {left}"
+        retained = sorted(set(find_retained_keys(self.dispatcher, ids)))
+        assert not retained, f"ended requests are still held: {retained}"
 
     def _check_tokens(self, caller: Caller) -> None:
-        """Each committed token passed each layer once, in order, in its attempt."""
+        """Check that committed tokens passed each layer once, in order, per attempt."""
         if caller.tokens:
-            told = self.scheduler.position_by_request.get(caller.request.id)
-            assert told == len(caller.tokens) - 1, "the decisions were not told"
+            recorded_position = self.scheduler.position_by_request.get(
+                caller.request.id
+            )
+            assert (
+                recorded_position == len(caller.tokens) - 1
+            ), "the scheduler did not receive the latest position"
         for position, token in enumerate(caller.tokens):
-            assert token.position == position, "a hole, or a token passed on twice"
+            assert token.position == position, "a gap, or a token forwarded twice"
             receipt = token.receipt
             assert receipt.request_id == caller.request.id, "another caller's token"
             token_key = (receipt.request_id, receipt.attempt, position)
@@ -283,7 +289,9 @@
                 for run in runs
                 for layer in range(run.layers.first, run.layers.end)
             ]
-            assert layers == list(range(MODEL_LAYERS)), "layers not once, in order"
+            assert layers == list(
+                range(MODEL_LAYERS)
+            ), "the layers did not run once each, in order"
 
     def _check_answer(self, caller: Caller) -> None:
         if caller.answer is None:
@@ -291,11 +299,11 @@
             return
         match caller.answer:
             case Result(tag="ok", ok=value):
-                self._check_whole(caller, value)
+                self._check_complete(caller, value)
             case Result(tag="error", error=problem):
                 self._check_refusal(caller, problem)
 
-    def _check_whole(self, caller: Caller, value: object) -> None:
+    def _check_complete(self, caller: Caller, value: object) -> None:
         request = caller.request
         if isinstance(request, ServiceRequest):
             assert value.body == service_body(request), "another caller's answer"
@@ -304,18 +312,22 @@
             MODEL, request.prompt, MODEL_LAYERS, request.max_tokens
         )
         texts = tuple(token.text for token in caller.tokens)
-        assert texts == expected, "not the whole answer to the caller's own request"
+        assert texts == expected, "not the complete answer to the caller's own request"
 
     def _check_refusal(self, caller: Caller, problem: Fault) -> None:
         request = caller.request
         runs = self.targets.record.runs_by_request[request.id]
         if problem.outcome is Outcome.NOT_RUN:
-            assert runs == 0, f"told not run ({problem}), but it ran {runs} times"
-        assert problem.outcome is not Outcome.FINISHED, "a fault that says finished"
+            assert (
+                runs == 0
+            ), f"reported as not run ({problem}), but it ran {runs} times"
+        assert (
+            problem.outcome is not Outcome.FINISHED
+        ), "a fault with the outcome finished"
         given_up = self.scheduler.given_up_at.get(request.id)
         if given_up is not None:
             held_s = caller.ended_at - given_up
-            assert held_s <= AT_ONCE_S, f"final answer held back for {held_s} s"
+            assert held_s <= FINAL_ANSWER_BOUND_S, f"final answer delayed by {held_s} s"
 
     def _check_runs(self, caller: Caller) -> None:
         if not caller.request.profile.idempotent:
@@ -334,7 +346,7 @@
                 for call in self.targets.record.calls
                 if call.target_id == target_id and call.at > since + LEAVING_BOUND_S
             ]
-            assert not late, f"new work to a leaving target: {late}"
+            assert not late, f"new work sent to a leaving target: {late}"
 
     def _add(self, caller: Caller) -> Caller:
         self.callers.append(caller)
@@ -353,8 +365,8 @@
         self.loop.settle()
         return caller
 
-    def _tell_targets(self) -> None:
-        self.dispatcher.set_targets(list(self.listed.values()), "a")
+    def _update_targets(self) -> None:
+        self.dispatcher.set_targets(list(self.target_by_id.values()), "a")
 
 
 def _targets(stages: int, replicas: int) -> Iterator[Target]:
@@ -391,29 +403,29 @@
         )
 
 
-def kept_keys(root: object, keys: set[str]) -> Iterator[str]:
+def find_retained_keys(root: object, keys: set[str]) -> Iterator[str]:
     """Yield each of ``keys`` that a mapping or set reachable from ``root`` holds.
 
-    A request that has ended but is still a key somewhere is a leak: at the
-    target size it grows by millions a day.
+    A request that has ended but is still a key somewhere is a leak, which grows
+    by millions of entries a day at the target size of the system.
     """
     seen: set[int] = set()
     pending = [root]
     while pending:
-        thing = pending.pop()
-        if id(thing) in seen or not _is_ours(thing):
+        value = pending.pop()
+        if id(value) in seen or not _is_own_object(value):
             continue
-        seen.add(id(thing))
-        if isinstance(thing, dict | set):
-            yield from (key for key in thing if isinstance(key, str) and key in keys)
-        pending.extend(gc.get_referents(thing))
+        seen.add(id(value))
+        if isinstance(value, dict | set):
+            yield from (key for key in value if isinstance(key, str) and key in keys)
+        pending.extend(gc.get_referents(value))
 
 
-def _is_ours(thing: object) -> bool:
-    if isinstance(thing, type | FakeTargets | WatchedNotes):
+def _is_own_object(value: object) -> bool:
+    if isinstance(value, type | FakeTargets | OracleRecords):
         return False
-    if type(thing).__name__ in BOUNDED_MEMORIES:
+    if type(value).__name__ in BOUNDED_STORES:
         return False
-    if isinstance(thing, dict | set | list | tuple):
+    if isinstance(value, dict | set | list | tuple):
         return True
-    return type(thing).__module__.split(".")[0] in OWN_MODULES
+    return type(value).__module__.split(".")[0] in OWN_MODULES
--- a/proofs/_serving_mutations.py
+++ b/proofs/_serving_mutations.py
@@ -1,8 +1,8 @@
-"""Small deliberate faults: each takes away one guard of the product.
+"""Small deliberate faults, each of which removes one safeguard of radishfield.
 
-A proof is worth what it catches.  Each mutation patches one public method, so
-that it outlives changes inside; the mutation tests apply one at a time and
-assert that the same fuzz run which passes without it now fails.
+They show which faults the fuzz tests catch.  Each mutation patches one public
+method, so that internal changes don't break it.  The mutation tests apply one at a
+time and assert that the fuzz run, which passes without it, fails.
 """
 
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 
 
 def retry_after_a_start(patch: pytest.MonkeyPatch) -> None:
-    """Run a request again although it may not run twice and has started."""
+    """Retry a request that has started although it may not run twice."""
     real = Scheduler.failed
 
     def failed(self, failure, now):
@@ -33,39 +33,39 @@
 def commit_any_attempt(patch: pytest.MonkeyPatch) -> None:
     """Commit a late token of an older attempt, or of another request."""
 
-    def trust(self, token):
+    def rewrite_token(self, token):
         receipt = replace(
             token.receipt, request_id=self.request_id, attempt=self.attempt
         )
         return replace(token, receipt=receipt)
 
-    _patch_commit(patch, trust)
+    _patch_commit(patch, rewrite_token)
 
 
 def commit_any_position(patch: pytest.MonkeyPatch) -> None:
-    """Commit a token that was repeated, or that leaves a hole."""
+    """Commit a token that was repeated, or that leaves a gap."""
 
-    def trust(self, token):
+    def rewrite_token(self, token):
         position = self.next_position
         receipt = replace(token.receipt, position=position)
         return replace(token, position=position, receipt=receipt)
 
-    _patch_commit(patch, trust)
+    _patch_commit(patch, rewrite_token)
 
 
 def commit_any_hops(patch: pytest.MonkeyPatch) -> None:
     """Commit a token that skipped a stage, or passed one twice."""
 
-    def trust(self, token):
+    def rewrite_token(self, token):
         stages = self.route.stages
         hops = tuple(Hop(stage.target_id, stage.layers) for stage in stages)
         return replace(token, receipt=replace(token.receipt, hops=hops))
 
-    _patch_commit(patch, trust)
+    _patch_commit(patch, rewrite_token)
 
 
 def tell_not_run_after_a_start(patch: pytest.MonkeyPatch) -> None:
-    """Tell the caller "not run" whatever has been sent."""
+    """Report "not run" to the caller whatever has been sent."""
     _patch_generate(
         patch,
         lambda problem: Error(replace(problem, proven_outcome=Outcome.NOT_RUN)),
@@ -73,7 +73,7 @@
 
 
 def take_a_truncated_stream_for_whole(patch: pytest.MonkeyPatch) -> None:
-    """End well where the stream ended without its last token."""
+    """Report success when the stream ended without its last token."""
     real = PipelineState.commit
 
     def commit(self, token):
@@ -91,12 +91,12 @@
 
 
 def keep_what_has_ended(patch: pytest.MonkeyPatch) -> None:
-    """Never free what running work held."""
+    """Never free the resources of work that has ended."""
     patch.setattr(Scheduler, "ended", lambda self, request_id, finished, now: None)
 
 
 def ignore_that_a_target_leaves(patch: pytest.MonkeyPatch) -> None:
-    """Give new work to leaving targets."""
+    """Send new work to leaving targets."""
     real = Scheduler.set_fleet
 
     def set_fleet(self, targets, links, zone, entry_hosts, now):
@@ -107,7 +107,7 @@
 
 
 def hold_the_final_answer_back(patch: pytest.MonkeyPatch) -> None:
-    """Answer a request that was given up only near its deadline."""
+    """Delay the final answer to a failed request until shortly before its deadline."""
     real = Dispatcher.generate
 
     async def generate(self, request, sink):
@@ -129,11 +129,11 @@
     patch.setattr(Dispatcher, "generate", generate)
 
 
-def _patch_commit(patch: pytest.MonkeyPatch, trust) -> None:
+def _patch_commit(patch: pytest.MonkeyPatch, rewrite_token) -> None:
     real = PipelineState.commit
 
     def commit(self, token):
-        return real(self, trust(self, token))
+        return real(self, rewrite_token(self, token))
 
     patch.setattr(PipelineState, "commit", commit)
 
--- a/proofs/_world_machine.py
+++ b/proofs/_world_machine.py
@@ -1,4 +1,4 @@
-"""What every state machine of the proofs does: check, end, and count its faults."""
+"""The base of all state machines: checks invariants, ends runs, counts faults."""
 
 from typing import Protocol
 
@@ -8,26 +8,26 @@
 
 
 class World(Protocol):
-    """What a machine plays in: the real services over fakes, in virtual time."""
+    """The real services over fakes, in virtual time, that a machine acts on."""
 
     loop: Loop
 
     def check(self) -> None:
-        """Check each promise that holds at any moment."""
+        """Check each guarantee that holds at any moment."""
 
     def check_end(self) -> None:
         """End all faults, and check that everything has ended."""
 
 
 class WorldMachine(RuleBasedStateMachine):
-    """Plays rules in a world, and checks it after each of them.
+    """Runs rules in a world, and checks the world after each of them.
 
     Attributes
     ----------
     faults_by_kind : dict of str to int
-        How often each kind was played, over all runs of the subclass.
+        How often each kind of fault was injected, over all runs of the subclass.
     steps : int
-        Checks over all runs of the subclass.
+        Number of checks over all runs of the subclass.
     """
 
     faults_by_kind: dict[str, int] = {}
@@ -43,13 +43,13 @@
 
     @invariant()
     def holds(self):
-        """Check each promise that holds at any moment."""
+        """Check each guarantee that holds at any moment."""
         if self.world is not None:
             type(self).steps += 1
             self.world.check()
 
     def teardown(self):
-        """Check what holds after all faults have ended."""
+        """Check the guarantees that hold after all faults have ended."""
         if self.world is None or self.world.loop.has_crashed:
             return
         try:
@@ -58,5 +58,5 @@
             self.world.loop.close()
 
     def count(self, kind: str) -> None:
-        """Count a fault that is played."""
+        """Count a fault that is injected."""
         self.faults_by_kind[kind] = self.faults_by_kind.get(kind, 0) + 1
--- a/proofs/bad_input_test.py
+++ b/proofs/bad_input_test.py
@@ -1,4 +1,4 @@
-"""Damaged frames between hosts and damaged answers of engines."""
+"""Tests damaged frames between hosts and damaged answers of engines."""
 
 import random
 import subprocess
@@ -31,10 +31,10 @@
 KEYS = (PeerKey(1, b"a secret of 16 bytes"),)
 
 
-def test_damaged_message_is_a_value_with_a_number():
-    """The host goes on, and drops the message under a number.
+def test_damaged_message_is_refused_with_a_result_code():
+    """The decoders refuse a damaged message with a result code, without a crash.
 
-    Run in a process of its own: the codec can end a process on damaged input
+    This runs in a separate process: the codec can end a process on damaged input
     without an exception that Python could catch.
     """
     run = subprocess.run(
@@ -44,20 +44,20 @@
 
 
 class NoisyNetwork(MemoryNetwork):
-    """A network that adds a damaged copy, a repeat and noise to each datagram."""
+    """A network that adds damaged copies, a repeat and noise to each datagram."""
 
-    __slots__ = ("chance",)
+    __slots__ = ("rng",)
 
     def __init__(self, seed):
         super().__init__(seed)
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
 
     def deliver(self, data, sender, address):
         bad = bytearray(data)
-        bad[self.chance.randrange(len(bad))] ^= 1 << self.chance.randrange(8)
-        cut = data[: self.chance.randrange(len(data))]
-        noise = self.chance.randbytes(40)
-        for each in (data, bytes(bad), cut, data):
+        bad[self.rng.randrange(len(bad))] ^= 1 << self.rng.randrange(8)
+        truncated = data[: self.rng.randrange(len(data))]
+        noise = self.rng.randbytes(40)
+        for each in (data, bytes(bad), truncated, data):
             super().deliver(each, sender, address)
         super().deliver(noise, "nobody:1", address)
 
@@ -127,7 +127,7 @@
     return PeerNetwork(settings, TrioClock(), transport, random.Random(number))
 
 
-# An engine's answers.
+# Answers of an engine.
 
 START = StreamStart(
     "request",
@@ -178,7 +178,7 @@
         b"HTTP/1.1 200 OK\r\ncontent-length: -4\r\n",
     )
 )
-QUICK = TargetTimeouts(first_token_s=0.4, idle_s=0.2, control_s=0.4)
+SHORT_TIMEOUTS = TargetTimeouts(first_token_s=0.4, idle_s=0.2, control_s=0.4)
 
 
 @ci_profile(120)
@@ -210,14 +210,14 @@
 
 
 async def _read_answer(head, lines, is_chunked, echoes):
-    """Serve one damaged answer on loopback; return what the port made of it."""
+    """Serve one damaged answer on loopback; return the tokens and fault read."""
     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
     port = listeners[0].socket.getsockname()[1]
     target = Target("engine", "h", "z", f"127.0.0.1:{port}")
 
     async def serve(stream):
         request = await stream.receive_some(65536)
-        number = _exchange_of(request) if echoes else b"0"
+        number = _read_exchange_id(request) if echoes else b"0"
         answer = head + b"x-exchange: " + number + b"\r\n\r\n"
         for line in lines:
             size = f"{len(line):x}\r\n".encode()
@@ -238,7 +238,7 @@
 
 async def _read_tokens(target, tokens):
     with trio.fail_after(5):
-        async with EngineTargets(QUICK).open_stream(target, START) as opened:
+        async with EngineTargets(SHORT_TIMEOUTS).open_stream(target, START) as opened:
             if opened.is_error():
                 return opened.error
             while not tokens or tokens[-1].finish is None:
@@ -250,7 +250,7 @@
     return None
 
 
-def _exchange_of(request: bytes) -> bytes:
+def _read_exchange_id(request: bytes) -> bytes:
     for line in request.split(b"\r\n"):
         name, _, value = line.partition(b":")
         if name.lower() == b"x-exchange":
--- a/proofs/fleet_test.py
+++ b/proofs/fleet_test.py
@@ -18,7 +18,7 @@
 
 @pytest.mark.parametrize("mutate", FLEET_MUTATIONS, ids=lambda m: m.__name__)
 def test_mutation_is_caught(mutate, monkeypatch):
-    """A guard is taken away, and the same fuzz run fails."""
+    """The fuzz run fails when the mutation removes a safeguard."""
     mutate(monkeypatch)
     with pytest.raises((AssertionError, BaseExceptionGroup)):
         run_state_machine_as_test(FleetMachine, settings=ci_profile(MUTATION_EXAMPLES))
--- a/proofs/keyed_test.py
+++ b/proofs/keyed_test.py
@@ -18,7 +18,7 @@
 
 @pytest.mark.parametrize("mutate", KEYED_MUTATIONS, ids=lambda m: m.__name__)
 def test_mutation_is_caught(mutate, monkeypatch):
-    """A guard is taken away, and the same fuzz run fails."""
+    """The fuzz run fails when the mutation removes a safeguard."""
     mutate(monkeypatch)
     with pytest.raises((AssertionError, BaseExceptionGroup)):
         run_state_machine_as_test(KeyedMachine, settings=ci_profile(MUTATION_EXAMPLES))
--- a/proofs/leases_test.py
+++ b/proofs/leases_test.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of leases and of the orders given under them."""
+"""Stateful fuzzing of leases and of the orders sent under them."""
 
 import pytest
 from hypothesis.stateful import run_state_machine_as_test
@@ -18,7 +18,7 @@
 
 @pytest.mark.parametrize("mutate", LEASE_MUTATIONS, ids=lambda m: m.__name__)
 def test_mutation_is_caught(mutate, monkeypatch):
-    """A guard is taken away, and the same fuzz run fails."""
+    """The fuzz run fails when the mutation removes a safeguard."""
     mutate(monkeypatch)
     with pytest.raises((AssertionError, BaseExceptionGroup)):
         run_state_machine_as_test(LeaseMachine, settings=ci_profile(MUTATION_EXAMPLES))
--- a/proofs/loop_test.py
+++ b/proofs/loop_test.py
@@ -1,4 +1,4 @@
-"""The loop in virtual time repeats a seed and lets no time pass by itself."""
+"""Tests that the loop reproduces a seed's run and advances time only on request."""
 
 import pytest
 import trio
@@ -6,7 +6,7 @@
 from proofs._loop import Loop
 
 
-def _order(seed: int) -> list[int]:
+def _run_tasks(seed: int) -> list[int]:
     loop = Loop(seed)
     order: list[int] = []
 
@@ -21,12 +21,12 @@
     return order
 
 
-def test_a_seed_repeats_the_order_of_tasks():
-    assert _order(3) == _order(3)
-    assert len({tuple(_order(seed)) for seed in range(6)}) > 1
+def test_seed_reproduces_the_order_of_tasks():
+    assert _run_tasks(3) == _run_tasks(3)
+    assert len({tuple(_run_tasks(seed)) for seed in range(6)}) > 1
 
 
-def test_time_moves_only_when_it_is_passed():
+def test_time_advances_only_in_pass_time():
     loop = Loop(1)
     loop.start(lambda: trio.sleep(5.0))
     loop.settle()
@@ -36,7 +36,7 @@
     loop.close()
 
 
-def test_a_task_that_crashes_fails_the_rule_that_waits():
+def test_crashed_task_fails_the_waiting_call():
     loop = Loop(1)
 
     async def crash() -> None:
--- a/proofs/serving_test.py
+++ b/proofs/serving_test.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of the dispatcher and the decisions behind it."""
+"""Stateful fuzzing of the dispatcher and its scheduler."""
 
 import pytest
 from hypothesis.stateful import run_state_machine_as_test
@@ -8,18 +8,18 @@
 from proofs._serving_mutations import SERVING_MUTATIONS
 
 EXAMPLES = 60
-# A mutated run ends at its first failure, so many examples cost little; with few,
-# whether a mutation is met would hang on details of the decisions.
+# A mutated run ends at its first failure, so many examples cost little.  With few
+# examples, details of the decisions would determine whether a mutation is caught.
 MUTATION_EXAMPLES = 400
 
 
-def test_promises_hold_while_targets_fail_in_every_way():
+def test_guarantees_hold_while_targets_fail_in_every_way():
     run_state_machine_as_test(ServingMachine, settings=ci_profile(EXAMPLES))
 
 
 @pytest.mark.parametrize("mutate", SERVING_MUTATIONS, ids=lambda m: m.__name__)
 def test_mutation_is_caught(mutate, monkeypatch):
-    """A guard is taken away, and the same fuzz run fails."""
+    """The fuzz run fails when the mutation removes a safeguard."""
     mutate(monkeypatch)
     with pytest.raises((AssertionError, BaseExceptionGroup)):
         run_state_machine_as_test(
