--- a/proofs/_processes.py
+++ b/proofs/_processes.py
@@ -1,4 +1,4 @@
-"""The real daemons and stand-ins on loopback, and callers that judge them."""
+"""Runs the daemons and stand-ins on loopback and records what callers receive."""
 
 import signal
 from collections import Counter
@@ -23,8 +23,8 @@
 
 
 @dataclass(slots=True)
-class Heard:
-    """What a caller heard of one request."""
+class ReceivedAnswer:
+    """What a caller received for one request; ``broken`` names a connection error."""
 
     prompt: str
     tokens: int
@@ -37,8 +37,8 @@
     broken: str = ""
 
     @property
-    def is_whole(self) -> bool:
-        """Return whether the answer is the only right one, and ended as such."""
+    def is_complete(self) -> bool:
+        """Return whether the answer ended properly and is the only right one."""
         return self.is_done and self.text == expected_text(self.prompt, self.tokens)
 
 
@@ -62,7 +62,7 @@
         super()._publish()
 
     def stop(self) -> None:
-        """End every process by its id; stand-ins need no orderly end."""
+        """Stop every process by its id; stand-ins need no orderly shutdown."""
         for name, process in list(self.processes_by_id.items()):
             if name not in self.entries_by_id:
                 process.kill()
@@ -72,20 +72,22 @@
         if self.relay is not None:
             self.relay.close()
 
-    def record_of(self, target_id: str) -> Record:
-        """Return what an engine really ran."""
+    def engine_record(self, target_id: str) -> Record:
+        """Return the record of what an engine ran."""
         address = self.targets_by_id[target_id].address
         answer = httpcore.request("GET", f"http://{address}/control/record")
         return msgspec.json.decode(answer.content, type=Record)
 
     def service_record(self) -> ServiceRecord:
-        """Return what the plain service really ran."""
+        """Return the record of what the plain service ran."""
         address = self.targets_by_id["a-service-1"].address
         answer = httpcore.request("GET", f"http://{address}/control/record")
         return msgspec.json.decode(answer.content, type=ServiceRecord)
 
-    def operate(self, host_id: str, method: str, path: str, body: object) -> int:
-        """Let an operator act through a host; return the status told."""
+    def send_operator_request(
+        self, host_id: str, method: str, path: str, body: object
+    ) -> int:
+        """Send an operator's request to a host; return the status of the answer."""
         port = self.entries_by_id[host_id].operator_port
         headers = {
             "authorization": f"Bearer {OPERATOR_TOKEN}",
@@ -97,12 +99,12 @@
         )
         return answer.status
 
-    def starts_at(self, target_id: str) -> int:
+    def count_started_requests(self, target_id: str) -> int:
         """Return how many requests have run a step at an engine."""
-        return len({step.request_id for step in self.record_of(target_id).steps})
+        return len({step.request_id for step in self.engine_record(target_id).steps})
 
-    def engines(self) -> list[str]:
-        """Return the ids of the engines whose processes run."""
+    def running_engines(self) -> list[str]:
+        """Return the ids of the engines whose processes are running."""
         return [
             target.id
             for target in self.targets_by_id.values()
@@ -113,36 +115,37 @@
         """Return the engines that ran layers for a request."""
         return [
             target_id
-            for target_id in self.engines()
+            for target_id in self.running_engines()
             if any(
-                step.request_id == system_id for step in self.record_of(target_id).steps
+                step.request_id == system_id
+                for step in self.engine_record(target_id).steps
             )
         ]
 
-    def starts_of(self, system_id: str) -> int:
-        """Return how often engines began a request."""
+    def count_starts(self, system_id: str) -> int:
+        """Return how often engines started a request."""
         return sum(
             start.request_id == system_id
-            for target_id in self.engines()
-            for start in self.record_of(target_id).starts
+            for target_id in self.running_engines()
+            for start in self.engine_record(target_id).starts
         )
 
     def layers_run_twice(self, system_id: str) -> list[tuple[int, int, int]]:
         """Return each attempt, position and layer that ran more than once."""
         runs: Counter[tuple[int, int, int]] = Counter()
-        for target_id in self.engines():
-            for step in self.record_of(target_id).steps:
+        for target_id in self.running_engines():
+            for step in self.engine_record(target_id).steps:
                 if step.request_id == system_id and not step.refused:
                     for layer in range(step.layers.first, step.layers.end):
                         runs[step.attempt, step.position, layer] += 1
         return [key for key, count in runs.items() if count > 1]
 
     def signal(self, name: str, number: int) -> None:
-        """Send one process a signal by its id."""
+        """Send a signal to one process by its id."""
         self.processes_by_id[name].send_signal(number)
 
     def restart_engine(self, target_id: str) -> None:
-        """Kill an engine and start it again where it listened."""
+        """Kill an engine and start it again on the same port."""
         target = self.targets_by_id[target_id]
         if target_id in self.processes_by_id:
             self.end(target_id, signal.SIGKILL)
@@ -159,61 +162,70 @@
 
 
 async def stream(
-    port: int, heard: Heard, profile: str = "review", key: str = "", progress=None
-) -> Heard:
-    """Ask for a streamed chat answer and take down what comes."""
+    port: int,
+    received: ReceivedAnswer,
+    profile: str = "review",
+    key: str = "",
+    progress=None,
+) -> ReceivedAnswer:
+    """Request a streamed chat answer and record what is received."""
     body = {
         "model": profile,
-        "messages": [{"role": "user", "content": heard.prompt}],
-        "max_tokens": heard.tokens,
+        "messages": [{"role": "user", "content": received.prompt}],
+        "max_tokens": received.tokens,
         "stream": True,
     }
     headers = {"content-type": "application/json"}
     if key:
         headers["idempotency-key"] = key
     url = f"http://127.0.0.1:{port}/v1/chat/completions"
-    # One connection a request: a balancer's choice, and no pooled leftovers.
+    # A new connection for each request: a load balancer chooses a host for each one,
+    # and no pooled connection is left over from an earlier request.
     async with httpcore.AsyncConnectionPool() as pool:
         try:
             with trio.fail_after(CALL_TIMEOUT_S):
                 async with pool.stream(
                     "POST", url, headers=headers, content=msgspec.json.encode(body)
                 ) as answer:
-                    await _take_down(answer, heard, progress)
+                    await _read_answer(answer, received, progress)
         except (
             httpcore.NetworkError,
             httpcore.ProtocolError,
             trio.TooSlowError,
         ) as error:
-            heard.broken = type(error).__name__
-    return heard
+            received.broken = type(error).__name__
+    return received
 
 
-async def _take_down(answer: httpcore.Response, heard: Heard, progress) -> None:
-    told = {name.decode().lower(): value.decode() for name, value in answer.headers}
-    heard.status = answer.status
-    heard.outcome = told.get("x-outcome", "")
-    heard.code = told.get("x-result-code", "")
-    heard.system_id = told.get("x-radishfield-id", "")
+async def _read_answer(
+    answer: httpcore.Response, received: ReceivedAnswer, progress
+) -> None:
+    header_by_name = {
+        name.decode().lower(): value.decode() for name, value in answer.headers
+    }
+    received.status = answer.status
+    received.outcome = header_by_name.get("x-outcome", "")
+    received.code = header_by_name.get("x-result-code", "")
+    received.system_id = header_by_name.get("x-radishfield-id", "")
     rest = b""
     async for chunk in answer.aiter_stream():
         rest += chunk
         while b"\n\n" in rest:
             event, _, rest = rest.partition(b"\n\n")
-            _take_event(event, heard)
+            _record_event(event, received)
             if progress is not None:
                 progress.set()
 
 
-def _take_event(event: bytes, heard: Heard) -> None:
+def _record_event(event: bytes, received: ReceivedAnswer) -> None:
     data = event.removeprefix(b"data: ")
     if data == b"[DONE]":
-        heard.is_done = True
+        received.is_done = True
         return
     value = msgspec.json.decode(data)
     if "error" in value:
-        heard.outcome = value["error"].get("outcome", "")
-        heard.code = str(value["error"].get("code", ""))
+        received.outcome = value["error"].get("outcome", "")
+        received.code = str(value["error"].get("code", ""))
         return
     for choice in value.get("choices", ()):
-        heard.text += choice.get("delta", {}).get("content") or ""
+        received.text += choice.get("delta", {}).get("content") or ""
--- a/proofs/_relay.py
+++ b/proofs/_relay.py
@@ -1,7 +1,7 @@
-"""A TCP relay on loopback whose open connections can go silent for good.
+"""A TCP relay on loopback that can silence its open connections permanently.
 
-It stands for whatever between two ends loses track of a connection: bytes are
-no longer passed on, nothing is closed, and new connections work.
+It simulates a middlebox that loses the state of a connection: bytes are no longer
+forwarded, nothing is closed, and new connections work.
 """
 
 import socket
@@ -22,44 +22,48 @@
 
     @property
     def address(self) -> str:
-        """Return where the relay listens."""
+        """Return the address on which the relay listens."""
         return f"127.0.0.1:{self._server.getsockname()[1]}"
 
     def silence_open_connections(self) -> None:
-        """Pass nothing more on over what is open now."""
+        """Stop forwarding on the connections that are open now."""
         self._generation += 1
         self.silenced += 1
 
     def close(self) -> None:
-        """Close everything."""
+        """Close the listener and all connections."""
         self._server.close()
-        for each in self._sockets:
-            each.close()
+        for connection in self._sockets:
+            connection.close()
 
     def _accept(self) -> None:
         while True:
             try:
-                near, _ = self._server.accept()
-                far = socket.create_connection(self._target)
+                client, _ = self._server.accept()
+                upstream = socket.create_connection(self._target)
             except OSError:
                 return
-            self._sockets += [near, far]
-            for one, other in ((near, far), (far, near)):
+            self._sockets += [client, upstream]
+            for source, sink in ((client, upstream), (upstream, client)):
                 pump = threading.Thread(
-                    target=self._pump, args=(one, other, self._generation), daemon=True
+                    target=self._pump,
+                    args=(source, sink, self._generation),
+                    daemon=True,
                 )
                 pump.start()
 
-    def _pump(self, one: socket.socket, other: socket.socket, generation: int) -> None:
+    def _pump(
+        self, source: socket.socket, sink: socket.socket, generation: int
+    ) -> None:
         while True:
             try:
-                data = one.recv(65536)
+                data = source.recv(65536)
                 if generation != self._generation:
-                    # Neither passed on nor closed: the other end waits for ever.
+                    # Neither forwarded nor closed, so the other end waits forever.
                     continue
                 if not data:
-                    other.shutdown(socket.SHUT_WR)
+                    sink.shutdown(socket.SHUT_WR)
                     return
-                other.sendall(data)
+                sink.sendall(data)
             except OSError:
                 return
--- a/proofs/_router_relay.py
+++ b/proofs/_router_relay.py
@@ -1,4 +1,4 @@
-"""A relay on loopback that harms what passes: the soak's only tool on connections."""
+"""A fault-injecting relay on loopback: the soak's only tool on connections."""
 
 import enum
 import math
@@ -7,13 +7,13 @@
 
 import trio
 
-CHUNK = 64 << 10
+CHUNK_BYTES = 64 << 10
 WINDOW_CHUNKS = 4
-"""Chunks of one connection that lie before a link, as many as a usual window has."""
+"""Chunks of one connection queued before a link, as many as a typical window has."""
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
-class Harm(enum.StrEnum):
+class RelayFault(enum.StrEnum):
     """What the relay does to the bytes of its connections."""
 
     NONE = "none"
@@ -24,37 +24,37 @@
 
 
 class SlowLink:
-    """The one bandwidth of all bytes that reach a host, in the order they come.
+    """The bandwidth that all bytes to a host share, in their order of arrival.
 
-    A window of what is read lies in the queue before the link at once, as it does on
-    a small host, and whatever comes later waits behind it.
+    A window of the bytes read enters the queue before the link at once, as on a small
+    host, and whatever arrives later waits behind it.
 
     Attributes
     ----------
-    longest_s : float
+    max_wait_s : float
         Longest wait of any byte.
     """
 
     def __init__(self):
         self.bytes_per_s = math.inf
-        self.longest_s = 0.0
+        self.max_wait_s = 0.0
         self._free_at = 0.0
 
     @property
     def queued_s(self) -> float:
-        """Return how long what comes now would wait."""
+        """Return how long bytes that arrive now would wait."""
         return max(0.0, self._free_at - trio.current_time())
 
-    def passed_at(self, size: int) -> float:
-        """Return when so many bytes that come now are through."""
-        begin_at = max(self._free_at, trio.current_time())
-        self._free_at = begin_at + size / self.bytes_per_s
-        self.longest_s = max(self.longest_s, self.queued_s)
+    def enqueue(self, size: int) -> float:
+        """Queue ``size`` bytes that arrive now; return when the link has sent them."""
+        start_at = max(self._free_at, trio.current_time())
+        self._free_at = start_at + size / self.bytes_per_s
+        self.max_wait_s = max(self.max_wait_s, self.queued_s)
         return self._free_at
 
 
-class HarmfulRelay:
-    """Passes connections on to one address, as long as it is let.
+class FaultyRelay:
+    """Forwards connections to one address, subject to the fault that is set.
 
     Parameters
     ----------
@@ -73,79 +73,81 @@
         self._link_by_source = link_by_source
         self._delay_s = delay_s
         self._open: set[trio.SocketStream] = set()
-        self._changed = trio.Event()
-        self.harm = Harm.NONE
+        self._fault_changed = trio.Event()
+        self.fault = RelayFault.NONE
         self.address = ""
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Accept until cancelled."""
+        """Accept connections until cancelled."""
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         port = listeners[0].socket.getsockname()[1]
         self.address = f"127.0.0.1:{port}"
         task_status.started()
         await trio.serve_listeners(self._serve, listeners)
 
-    def set(self, harm: Harm) -> None:
+    def set_fault(self, fault: RelayFault) -> None:
         """Change what happens to open and new connections."""
-        self.harm = harm
-        self._changed.set()
-        self._changed = trio.Event()
+        self.fault = fault
+        self._fault_changed.set()
+        self._fault_changed = trio.Event()
 
     async def reset_open(self) -> None:
         """Reset every open connection."""
         for stream in list(self._open):
-            # One that is closed already has nothing left to reset.
+            # A connection that is already closed has nothing to reset.
             if stream.socket.fileno() >= 0:
                 stream.setsockopt(
                     trio.socket.SOL_SOCKET, trio.socket.SO_LINGER, RESET_ON_CLOSE
                 )
             await trio.aclose_forcefully(stream)
 
-    async def _serve(self, near: trio.SocketStream) -> None:
-        if self.harm is Harm.REFUSED:
-            await trio.aclose_forcefully(near)
+    async def _serve(self, client: trio.SocketStream) -> None:
+        if self.fault is RelayFault.REFUSED:
+            await trio.aclose_forcefully(client)
             return
         try:
-            link = self._link_by_source.get(near.socket.getpeername()[0])
-            far = await trio.open_tcp_stream(*self._target)
+            link = self._link_by_source.get(client.socket.getpeername()[0])
+            upstream = await trio.open_tcp_stream(*self._target)
         except OSError:
-            await trio.aclose_forcefully(near)
+            await trio.aclose_forcefully(client)
             return
-        self._open |= {near, far}
+        self._open |= {client, upstream}
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._pump, near, far, nursery, False)
+                nursery.start_soon(self._pump, client, upstream, nursery, False)
                 if link is None:
-                    nursery.start_soon(self._pump, far, near, nursery, True)
+                    nursery.start_soon(self._pump, upstream, client, nursery, True)
                 else:
                     queue, queued = trio.open_memory_channel(WINDOW_CHUNKS)
-                    nursery.start_soon(self._pump_into, far, queue, link, nursery)
-                    nursery.start_soon(self._pump_out, queued, near, nursery)
+                    nursery.start_soon(
+                        self._pump_to_queue, upstream, queue, link, nursery
+                    )
+                    nursery.start_soon(self._pump_from_queue, queued, client, nursery)
         finally:
-            self._open -= {near, far}
+            self._open -= {client, upstream}
             with trio.CancelScope(shield=True):
-                await trio.aclose_forcefully(near)
-                await trio.aclose_forcefully(far)
+                await trio.aclose_forcefully(client)
+                await trio.aclose_forcefully(upstream)
 
-    async def _pump(self, source, sink, nursery, back: bool) -> None:
+    async def _pump(self, source, sink, nursery, to_client: bool) -> None:
         try:
-            while data := await source.receive_some(CHUNK):
-                await self._hold(back)
+            while data := await source.receive_some(CHUNK_BYTES):
+                await self._apply_fault(to_client)
                 await sink.send_all(data)
             await sink.send_eof()
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError):
             nursery.cancel_scope.cancel()
 
-    async def _pump_into(self, source, queue, link: SlowLink, nursery) -> None:
+    async def _pump_to_queue(self, source, queue, link: SlowLink, nursery) -> None:
         try:
             async with queue:
-                while data := await source.receive_some(CHUNK):
-                    await self._hold(back=True)
-                    await queue.send((link.passed_at(len(data)), data))
+                while data := await source.receive_some(CHUNK_BYTES):
+                    await self._apply_fault(to_client=True)
+                    await queue.send((link.enqueue(len(data)), data))
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError):
             nursery.cancel_scope.cancel()
 
-    async def _pump_out(self, queued, sink, nursery) -> None:
+    async def _pump_from_queue(self, queued, sink, nursery) -> None:
         try:
             async for due, data in queued:
                 await trio.sleep_until(due)
@@ -154,8 +156,10 @@
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError):
             nursery.cancel_scope.cancel()
 
-    async def _hold(self, back: bool) -> None:
-        while self.harm is Harm.SILENT or (self.harm is Harm.ONE_WAY and back):
-            await self._changed.wait()
-        if self.harm is Harm.DELAYED:
+    async def _apply_fault(self, to_client: bool) -> None:
+        while self.fault is RelayFault.SILENT or (
+            self.fault is RelayFault.ONE_WAY and to_client
+        ):
+            await self._fault_changed.wait()
+        if self.fault is RelayFault.DELAYED:
             await trio.sleep(self._delay_s)
--- a/proofs/_router_soak.py
+++ b/proofs/_router_soak.py
@@ -1,12 +1,12 @@
-"""Routers as processes under faults from outside, and the promises that callers see.
-
-One run: three routers, a store and six targets of both kinds, each behind a relay.
-A seeded plan harms relays, stops, kills and restarts routers, lets targets leave
-and changes the configuration, several at a time, while callers send all kinds of
-request.  What callers and targets saw is judged: nothing runs twice that may not,
-nothing runs that was told not to have run, answers and streams are whole and their
-own, no begun stream ends early without a reason, and once the faults are over every
-host serves again.
+"""Runs routers as processes under external faults and checks their guarantees.
+
+One run has three routers, a store and six targets of both kinds, each behind a relay.
+A seeded plan sets faults on relays, stops, kills and restarts routers, lets targets
+leave and changes the configuration, several at a time, while callers send all kinds of
+request.  What callers and targets saw is checked: no request that may run only once
+runs twice, none that was reported as not run has run, answers and streams are complete
+and belong to their request, no started stream ends early without a reason, and once
+the faults are over every host serves again.
 """
 
 import random
@@ -17,10 +17,10 @@
 import httpcore
 import trio
 
-from proofs._router_relay import Harm, HarmfulRelay, SlowLink
+from proofs._router_relay import FaultyRelay, RelayFault, SlowLink
 from proofs._soak_changes import Changes
 from proofs._soak_crashes import CrashLog
-from proofs._soak_judge import STORE, Findings, Harms, StreamEnd
+from proofs._soak_judge import STORE, FaultLog, Findings, StreamEnd
 from proofs._soak_plans import Plan
 from radishfield.web import ListenerConfig, serve_app
 from standins.object_store import ObjectStoreApp
@@ -39,29 +39,29 @@
 from standins.router_process import RouterProcess
 
 HOSTS = 3
-"""Hosts of the usual run, each of which follows the store by itself."""
+"""Hosts of the typical run, each of which watches the store by itself."""
 MANY_HOSTS = 6
-"""So many in one zone share that duty."""
+"""This many hosts in one zone share the watching of the store."""
 PORTS_PER_HOST = 3
 SETTLE_S = 8.0
-"""Time after the last fault in which every host has to serve again: a stopped
-process wakes, views are read anew, targets that were left out are asked."""
-PROMISES = (408, 421, 429, 503)
-LOOK_S = 0.01
+"""Time after the last fault within which every host has to serve again: a stopped
+process resumes, views are read again, and excluded targets are probed."""
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+POLL_S = 0.01
 BYTES_PER_MBIT = 125_000
 
 
 class Soak:
-    """One seeded run, of as many hosts as it is given ports for."""
+    """One seeded run, with one host for each `PORTS_PER_HOST` ports."""
 
     def __init__(
         self, seed: int, folder: Path, ports: list[int], seconds: float, plan: Plan
     ):
         self.findings = Findings()
         self._plan = plan
-        self._harms = Harms()
-        self._ends: list[StreamEnd] = []
-        self._chance = random.Random(seed)
+        self._fault_log = FaultLog()
+        self._stream_ends: list[StreamEnd] = []
+        self._rng = random.Random(seed)
         self._folder = folder
         self._ports = ports
         self._seconds = seconds
@@ -69,46 +69,46 @@
         self._fleet = LayeredFleet()
         self._plain: list[PlainTarget] = []
         self._layered: list[LayeredTarget] = []
-        self._relays: dict[str, HarmfulRelay] = {}
-        self._gone_relays: dict[str, HarmfulRelay] = {}
+        self._relays: dict[str, FaultyRelay] = {}
+        self._crashed_relays: dict[str, FaultyRelay] = {}
         self._routers: list[RouterProcess] = []
         self._crashes = CrashLog()
         self._restarts: trio.Nursery | None = None
         self._link_by_source: dict[str, SlowLink] = {}
         self._changes = Changes(
-            self._store, self._chance, plan.timeout_ms, self._longest_queue_s
+            self._store, self._rng, plan.timeout_ms, self._max_queued_s
         )
         self._sent = 0
 
     async def run(self) -> Findings:
-        """Play the run and judge it."""
+        """Run the plan and check the results."""
         async with trio.open_nursery() as nursery:
             await self._build(nursery)
             try:
-                await self._wait_served(20.0)
+                await self._wait_all_serving(20.0)
                 async with trio.open_nursery() as callers:
-                    callers.start_soon(self._note_lateness)
+                    callers.start_soon(self._measure_lateness)
                     for number in range(self._plan.callers):
-                        callers.start_soon(self._call_on, number)
-                    await self._harm()
+                        callers.start_soon(self._run_caller, number)
+                    await self._run_faults()
                     callers.cancel_scope.cancel()
                 self._changes.restore()
                 settled_at = trio.current_time() + SETTLE_S
-                await self._wait_served(SETTLE_S)
+                await self._wait_all_serving(SETTLE_S)
                 if self._link_by_source:
-                    # A host may serve by an older version while it reads the last.
+                    # A host may serve with an older version while it reads the last.
                     await trio.sleep_until(settled_at)
-                await self._judge_settled()
+                await self._check_settled()
             finally:
                 for router in self._routers:
                     router.end()
-            self._judge()
+            self._check_results()
             nursery.cancel_scope.cancel()
         return self.findings
 
     async def _build(self, nursery) -> None:
         self._restarts = nursery
-        store = await self._relayed(nursery, STORE, self._store)
+        store = await self._serve_behind_relay(nursery, STORE, self._store)
         for number in range(2 + self._plan.spares):
             await self._add_plain(f"p{number}")
         spans = [(0, 40), (40, 80)] * (2 + self._plan.spares // 2)
@@ -144,18 +144,18 @@
         self._store.put("servers", target_id, entry)
 
     async def _serve_until_crash(self, target, add_again, *span: int) -> None:
-        """Serve a target; a crash ends it, and another one comes in its place."""
+        """Serve a target until it crashes, and then start another one in its place."""
         scope = trio.CancelScope()
 
         async def run(*, task_status):
             with scope:
                 async with trio.open_nursery() as nursery:
-                    address = await self._relayed(nursery, target.id, target)
+                    address = await self._serve_behind_relay(nursery, target.id, target)
                     task_status.started(address)
                     await trio.sleep_forever()
 
         def crash(request_id: str) -> None:
-            self._crashes.ended(target.id, request_id, trio.current_time())
+            self._crashes.record_crash(target.id, request_id, trio.current_time())
             if scope.cancel_called:
                 return
             self._fleet.target_by_address.pop(target.address, None)
@@ -166,122 +166,126 @@
         target.address = await self._restarts.start(run)
 
     async def _replace(self, target_id: str, add_again, *span: int) -> None:
-        with self._harms.noted(target_id):
-            await trio.sleep(self._chance.uniform(0.5, 2.5))
+        with self._fault_log.record(target_id):
+            await trio.sleep(self._rng.uniform(0.5, 2.5))
             self._store.remove("servers", target_id)
-            self._gone_relays[target_id] = self._relays.pop(target_id)
+            self._crashed_relays[target_id] = self._relays.pop(target_id)
             await add_again(f"{target_id}+", *span)
 
-    async def _relayed(self, nursery, name: str, app) -> str:
+    async def _serve_behind_relay(self, nursery, name: str, app) -> str:
         listener = ListenerConfig.from_settings("127.0.0.1:0", drain_s=0.0)
         (url,) = await nursery.start(serve_app, app, listener, None)
-        relay = HarmfulRelay(url.removeprefix("http://"), self._link_by_source)
+        relay = FaultyRelay(url.removeprefix("http://"), self._link_by_source)
         await nursery.start(relay.run)
         self._relays[name] = relay
         return relay.address
 
-    async def _harm(self) -> None:
-        """Start faults that overlap, and end them all."""
+    async def _run_faults(self) -> None:
+        """Start overlapping faults, and end them all."""
         for link in self._link_by_source.values():
-            self._slow(link)
+            self._set_bandwidth(link)
         async with trio.open_nursery() as nursery:
             with trio.move_on_after(self._seconds):
                 while True:
-                    nursery.start_soon(self._one_fault)
-                    await trio.sleep(self._chance.uniform(0.3, 1.2))
+                    nursery.start_soon(self._inject_fault)
+                    await trio.sleep(self._rng.uniform(0.3, 1.2))
 
-    async def _one_fault(self) -> None:
-        kind = self._chance.choice(self._plan.kinds)
-        lasts_s = self._chance.uniform(0.3, 2.0)
-        name = self._chance.choice(list(self._relays))
+    async def _inject_fault(self) -> None:
+        kind = self._rng.choice(self._plan.kinds)
+        duration_s = self._rng.uniform(0.3, 2.0)
+        name = self._rng.choice(list(self._relays))
         relay = self._relays[name]
-        router = self._chance.choice(self._routers)
+        router = self._rng.choice(self._routers)
         self.findings.faults.append(kind)
         match kind:
             case "relay":
-                harms = [harm for harm in Harm if harm is not Harm.NONE]
-                with self._harms.noted(name):
-                    relay.set(self._chance.choice(harms))
-                    await trio.sleep(lasts_s)
-                    relay.set(Harm.NONE)
+                faults_to_set = [
+                    fault for fault in RelayFault if fault is not RelayFault.NONE
+                ]
+                with self._fault_log.record(name):
+                    relay.set_fault(self._rng.choice(faults_to_set))
+                    await trio.sleep(duration_s)
+                    relay.set_fault(RelayFault.NONE)
             case "reset":
-                with self._harms.noted(name):
+                with self._fault_log.record(name):
                     await relay.reset_open()
             case "stop":
-                with self._harms.noted(_name(router)):
+                with self._fault_log.record(_router_name(router)):
                     router.signal(signal.SIGSTOP)
-                    await trio.sleep(lasts_s)
+                    await trio.sleep(duration_s)
                     router.signal(signal.SIGCONT)
             case "kill" | "term":
-                with self._harms.noted(_name(router)):
+                with self._fault_log.record(_router_name(router)):
                     pid = router.pid
                     router.signal(signal.SIGKILL if kind == "kill" else signal.SIGTERM)
-                    await trio.sleep(lasts_s)
+                    await trio.sleep(duration_s)
                     router.signal(signal.SIGCONT)
                     await trio.sleep(4.0)
-                    # Stopped by another fault, it is told to leave when it wakes.
+                    # If another fault stopped it, it gets the signal when it resumes.
                     while router.runs and router.pid == pid:
-                        await trio.sleep(LOOK_S)
+                        await trio.sleep(POLL_S)
                     router.start()
             case "crash":
-                await self._crash(self._chance.choice(("read", "post", "stream")))
+                await self._crash(self._rng.choice(("read", "post", "stream")))
             case "hup":
                 router.signal(signal.SIGHUP)
             case "leave":
-                await self._leave_and_return(lasts_s)
+                await self._leave_and_return(duration_s)
             case "config":
                 self._changes.skip_versions()
             case "large":
-                await self._changes.grow()
+                await self._changes.write_large_versions()
             case "others" | "used":
-                await self._changes.alter(used=kind == "used")
+                await self._changes.change_and_revert(used=kind == "used")
             case "link":
-                self._slow(self._chance.choice(list(self._link_by_source.values())))
+                self._set_bandwidth(
+                    self._rng.choice(list(self._link_by_source.values()))
+                )
 
     async def _crash(self, kind: str) -> None:
-        """Send a request that crashes targets again and again, through any router."""
-        path = f"{kind}/crash-{self._chance.randint(1, 2)}"
+        """Repeatedly send a request that crashes targets, through any router."""
+        path = f"{kind}/crash-{self._rng.randint(1, 2)}"
         async with httpcore.AsyncConnectionPool() as pool:
-            for _ in range(self._chance.randint(2, 5)):
-                router = self._chance.choice(self._routers)
+            for _ in range(self._rng.randint(2, 5)):
+                router = self._rng.choice(self._routers)
                 await self._call(pool, router, kind, path=path, body=CRASHING_BODY)
-                await trio.sleep(self._chance.uniform(0.0, 1.0))
+                await trio.sleep(self._rng.uniform(0.0, 1.0))
 
-    def _slow(self, link: SlowLink) -> None:
-        mbps = self._chance.uniform(*self._plan.link_mbps)
+    def _set_bandwidth(self, link: SlowLink) -> None:
+        mbps = self._rng.uniform(*self._plan.link_mbps)
         link.bytes_per_s = mbps * BYTES_PER_MBIT
 
-    def _longest_queue_s(self) -> float:
+    def _max_queued_s(self) -> float:
         links = self._link_by_source.values()
         return max((link.queued_s for link in links), default=0.0)
 
-    async def _note_lateness(self) -> None:
+    async def _measure_lateness(self) -> None:
         while True:
-            due = trio.current_time() + LOOK_S
+            due = trio.current_time() + POLL_S
             await trio.sleep_until(due)
             late_s = trio.current_time() - due
             self.findings.late_s = max(self.findings.late_s, late_s)
 
-    async def _leave_and_return(self, lasts_s: float) -> None:
-        target = self._chance.choice(self._plain)
+    async def _leave_and_return(self, duration_s: float) -> None:
+        target = self._rng.choice(self._plain)
         entry = self._store.spec("servers", target.id)
         self._store.put("servers", target.id, entry | {"state": "draining"})
-        await trio.sleep(lasts_s)
+        await trio.sleep(duration_s)
         self._store.remove("servers", target.id)
-        # Another start, so that the leaving of the earlier one does not hold.
+        # A new start, so that the draining of the earlier one does not apply to it.
         born = entry.get("born", 0) + 1
         self._store.put("servers", target.id, entry | {"state": "ready", "born": born})
 
-    async def _call_on(self, caller: int) -> None:
-        chance = random.Random(caller)
+    async def _run_caller(self, caller: int) -> None:
+        rng = random.Random(caller)
         key = self._plan.keys[caller % len(self._plan.keys)]
         while True:
-            router = chance.choice(self._routers)
-            kind = chance.choice(self._plan.calls)
+            router = rng.choice(self._routers)
+            kind = rng.choice(self._plan.calls)
             async with httpcore.AsyncConnectionPool(max_connections=1) as pool:
-                for _ in range(chance.randint(1, self._plan.most_calls)):
+                for _ in range(rng.randint(1, self._plan.max_calls)):
                     await self._call(pool, router, kind, key)
-                    await trio.sleep(chance.uniform(0.0, 0.05))
+                    await trio.sleep(rng.uniform(0.0, 0.05))
 
     async def _call(
         self,
@@ -292,15 +296,15 @@
         path: str = "",
         body: bytes = b"{}",
     ) -> int:
-        """Send one request and judge its answer; return the status, 0 for none."""
+        """Send one request and check its answer; return the status, 0 if incomplete."""
         self._sent += 1
         request_id = f"{kind}-{self._sent}"
         crashes = body == CRASHING_BODY
-        self._crashes.sent(request_id, path, _name(router))
+        self._crashes.record_request(request_id, path, _router_name(router))
         deadline_s = self._plan.deadline_s
         headers = request_headers(request_id, key, deadline_s)
         method = "GET" if kind == "read" else "POST"
-        received, status, whole, signed = bytearray(), 0, False, False
+        received, status, complete, signed = bytearray(), 0, False, False
         sent_at = trio.current_time()
         try:
             with trio.fail_after(deadline_s + 1.0):
@@ -311,58 +315,64 @@
                     content=None if kind == "read" and not crashes else body,
                 ) as answer:
                     status = answer.status
-                    signed = b"x-server-stamp" in _by_name(answer)
+                    signed = b"x-server-stamp" in _header_by_name(answer)
                     async for chunk in answer.aiter_stream():
                         received += chunk
-                    whole = True
+                    complete = True
                     if not crashes:
-                        self._judge_answer(request_id, kind, answer, bytes(received))
+                        self._check_answer(request_id, kind, answer, bytes(received))
         except (httpcore.NetworkError, httpcore.ProtocolError, trio.TooSlowError):
             pass
-        if status == 200 and kind == "stream" and not whole:
-            self._judge_events(request_id, bytes(received), whole=False)
+        if status == 200 and kind == "stream" and not complete:
+            self._check_events(request_id, bytes(received), complete=False)
         if kind == "stream" and not crashes:
             times = sent_at, trio.current_time()
-            self._ends.append(
-                StreamEnd(request_id, _name(router), *times, status, signed, whole)
+            self._stream_ends.append(
+                StreamEnd(
+                    request_id, _router_name(router), *times, status, signed, complete
+                )
             )
         self.findings.status_by_request[request_id] = status
         name = f"{kind} crash" if crashes else kind
-        self.findings.statuses[f"{name} {status}{'' if whole else ' cut'}"] += 1
-        return status if whole else 0
-
-    def _judge_answer(self, request_id: str, kind: str, answer, body: bytes) -> None:
-        by_name = _by_name(answer)
-        if by_name.get(b"x-request-id", b"").decode() != request_id:
-            self._break(f"{request_id}: an answer to {by_name.get(b'x-request-id')}")
+        self.findings.statuses[f"{name} {status}{'' if complete else ' cut'}"] += 1
+        return status if complete else 0
+
+    def _check_answer(self, request_id: str, kind: str, answer, body: bytes) -> None:
+        header_by_name = _header_by_name(answer)
+        if header_by_name.get(b"x-request-id", b"").decode() != request_id:
+            self._add_violation(
+                f"{request_id}: an answer to {header_by_name.get(b'x-request-id')}"
+            )
         if answer.status != 200:
             if b'"code":4015' in body:
-                self._break(f"{request_id}: refused for a crash of another request")
+                self._add_violation(
+                    f"{request_id}: refused for a crash of another request"
+                )
             return
-        if b"x-server-stamp" not in by_name:
-            self._break(f"{request_id}: a success that no target signed")
+        if b"x-server-stamp" not in header_by_name:
+            self._add_violation(f"{request_id}: a success that no target signed")
         if kind == "stream":
-            self._judge_events(request_id, body, whole=True)
+            self._check_events(request_id, body, complete=True)
         elif not body.startswith(b"answer of "):
-            self._break(f"{request_id}: {body[:40]!r}")
+            self._add_violation(f"{request_id}: {body[:40]!r}")
 
-    def _judge_events(self, request_id: str, body: bytes, whole: bool) -> None:
+    def _check_events(self, request_id: str, body: bytes, complete: bool) -> None:
         ids = [int(line[4:]) for line in body.split(b"\n") if line.startswith(b"id: ")]
         if ids != list(range(1, len(ids) + 1)):
-            self._break(f"{request_id}: events {ids}")
-        if whole and len(ids) != self._plan.events:
-            self._break(f"{request_id}: whole after {len(ids)} events")
+            self._add_violation(f"{request_id}: events {ids}")
+        if complete and len(ids) != self._plan.events:
+            self._add_violation(f"{request_id}: whole after {len(ids)} events")
 
-    async def _wait_served(self, limit_s: float) -> None:
+    async def _wait_all_serving(self, limit_s: float) -> None:
         """Wait until every host answers a request of each kind."""
         with trio.move_on_after(limit_s):
             async with trio.open_nursery() as nursery:
                 for router in self._routers:
-                    nursery.start_soon(self._until_serves, router)
+                    nursery.start_soon(self._wait_until_serving, router)
             return
-        self._break(f"not every host serves {limit_s} s after the faults")
+        self._add_violation(f"not every host serves {limit_s} s after the faults")
 
-    async def _until_serves(self, router: RouterProcess) -> None:
+    async def _wait_until_serving(self, router: RouterProcess) -> None:
         router.signal(signal.SIGCONT)
         router.start()
         while not await self._serves(router):
@@ -375,19 +385,19 @@
                     return False
         return True
 
-    async def _judge_settled(self) -> None:
-        """Once settled, refusals are over."""
+    async def _check_settled(self) -> None:
+        """Check that no request is refused once the hosts have settled."""
         before = self.findings.statuses.copy()
         for router in self._routers:
             await self._serves(router)
         new = self.findings.statuses - before
         if any(" 200" not in name for name in new):
-            self._break(f"after the faults: {dict(new)}")
+            self._add_violation(f"after the faults: {dict(new)}")
 
-    def _judge(self) -> None:
-        """Compare what targets ran with what callers were told."""
+    def _check_results(self) -> None:
+        """Compare what targets ran with what callers received."""
         links = self._link_by_source.values()
-        self.findings.queued_s = max((link.longest_s for link in links), default=0.0)
+        self.findings.queued_s = max((link.max_wait_s for link in links), default=0.0)
         runs: Counter[str] = Counter()
         for target in self._plain:
             runs += target.ran
@@ -395,40 +405,40 @@
             if not request_id.startswith("post"):
                 continue
             if runs[request_id] > 1:
-                self._break(f"{request_id}: ran {runs[request_id]} times")
-            if status in PROMISES and runs[request_id]:
-                self._break(f"{request_id}: told {status} and ran")
-        for end in self._ends:
-            self._judge_end(end)
+                self._add_violation(f"{request_id}: ran {runs[request_id]} times")
+            if status in NOT_RUN_STATUSES and runs[request_id]:
+                self._add_violation(f"{request_id}: told {status} and ran")
+        for end in self._stream_ends:
+            self._check_stream_end(end)
         self.findings.crashes = len(self._crashes)
-        for finding in self._crashes.findings(self._harms):
-            self._break(finding)
+        for violation in self._crashes.find_violations(self._fault_log):
+            self._add_violation(violation)
 
-    def _judge_end(self, end: StreamEnd) -> None:
-        """Judge whether a stream that a target had begun ended early for a reason."""
-        passed = self._fleet.addresses_by_request.get(end.request_id)
-        if not passed or not end.cut:
+    def _check_stream_end(self, end: StreamEnd) -> None:
+        """Check that a started stream did not end early without a reason."""
+        addresses = self._fleet.addresses_by_request.get(end.request_id)
+        if not addresses or not end.is_aborted:
             return
-        relay_by_name = self._gone_relays | self._relays
+        relay_by_name = self._crashed_relays | self._relays
         relays = [
-            name for name, relay in relay_by_name.items() if relay.address in passed
+            name for name, relay in relay_by_name.items() if relay.address in addresses
         ]
-        if self._harms.excuse(end, relays):
+        if self._fault_log.is_excused(end, relays):
             self.findings.excused += 1
             return
         lasted_s = end.ended_at - end.sent_at
-        self._break(
+        self._add_violation(
             f"{end.request_id}: cut at {end.router} after {lasted_s:.2f} s,"
             f" status {end.status}, begun at {', '.join(relays)}"
         )
 
-    def _break(self, what: str) -> None:
-        self.findings.broken.append(what)
+    def _add_violation(self, violation: str) -> None:
+        self.findings.violations.append(violation)
 
 
-def _name(router: RouterProcess) -> str:
+def _router_name(router: RouterProcess) -> str:
     return f"router-{router.number}"
 
 
-def _by_name(answer) -> dict[bytes, bytes]:
+def _header_by_name(answer) -> dict[bytes, bytes]:
     return {name.lower(): value for name, value in answer.headers}
--- a/proofs/_soak_crashes.py
+++ b/proofs/_soak_crashes.py
@@ -1,18 +1,19 @@
-"""Requests that crash targets, in a soak: who sent which, and what ended under them.
+"""Records a soak's requests that crash targets: their routers and the crashes.
 
-Three targets that ended under one request are proof.  Later than `CONTACT_S` after the
-third, hosts that were in touch all the while send it on at most three times more.
+Crashes of three targets under one request are proof that it crashes them.  Later than
+`REPORT_DELAY_S` after the third, hosts that were connected all the while forward it at
+most three times more.
 """
 
 from collections import defaultdict
 from dataclasses import dataclass
 
-from proofs._soak_judge import Harms, StreamEnd
+from proofs._soak_judge import FaultLog, StreamEnd
 
-PROVEN_ENDS = 3
-MORE_ENDS = 3
-CONTACT_S = 3.0
-"""Time in which every host that is in touch has heard of an end."""
+PROOF_CRASHES = 3
+MAX_LATE_CRASHES = 3
+REPORT_DELAY_S = 3.0
+"""Time within which every connected host has received the report of a crash."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -23,44 +24,47 @@
 
 
 class CrashLog:
-    """The ends of targets under each request, in their order."""
+    """The crashes of targets under each request, in their order."""
 
     def __init__(self):
         self._crashes_by_path: dict[str, list[_Crash]] = defaultdict(list)
-        self._way_by_request: dict[str, tuple[str, str]] = {}
+        self._path_and_router_by_request: dict[str, tuple[str, str]] = {}
 
     def __len__(self) -> int:
         return sum(len(crashes) for crashes in self._crashes_by_path.values())
 
-    def sent(self, request_id: str, path: str, router: str) -> None:
-        """Note which way an attempt of a caller goes."""
-        self._way_by_request[request_id] = (path, router)
+    def record_request(self, request_id: str, path: str, router: str) -> None:
+        """Record the path and router of a caller's attempt."""
+        self._path_and_router_by_request[request_id] = (path, router)
 
-    def ended(self, target_id: str, request_id: str, at: float) -> None:
-        """Note that a target ended under a request."""
-        path, router = self._way_by_request[request_id]
+    def record_crash(self, target_id: str, request_id: str, at: float) -> None:
+        """Record that a target crashed under a request."""
+        path, router = self._path_and_router_by_request[request_id]
         self._crashes_by_path[path].append(_Crash(target_id, at, router))
 
-    def findings(self, harms: Harms) -> list[str]:
-        """Return which requests were sent on too often by hosts in touch."""
-        found = []
+    def find_violations(self, fault_log: FaultLog) -> list[str]:
+        """Return the requests that connected hosts forwarded too often."""
+        violations = []
         for path, crashes in self._crashes_by_path.items():
-            if len(crashes) < PROVEN_ENDS:
+            if len(crashes) < PROOF_CRASHES:
                 continue
-            proven_at = crashes[PROVEN_ENDS - 1].at
+            proven_at = crashes[PROOF_CRASHES - 1].at
             late = [
                 crash
-                for crash in crashes[PROVEN_ENDS:]
-                if crash.at > proven_at + CONTACT_S and _in_touch(crash, harms)
+                for crash in crashes[PROOF_CRASHES:]
+                if crash.at > proven_at + REPORT_DELAY_S
+                and _was_connected(crash, fault_log)
             ]
-            if len(late) > MORE_ENDS:
+            if len(late) > MAX_LATE_CRASHES:
                 times = ", ".join(f"{crash.at - proven_at:.1f} s" for crash in late)
-                found.append(f"{path}: sent on after {times}; {len(crashes)} ended")
-        return found
+                violations.append(
+                    f"{path}: sent on after {times}; {len(crashes)} ended"
+                )
+        return violations
 
 
-def _in_touch(crash: _Crash, harms: Harms) -> bool:
-    since = crash.at - CONTACT_S
-    return not harms.excuse(
+def _was_connected(crash: _Crash, fault_log: FaultLog) -> bool:
+    since = crash.at - REPORT_DELAY_S
+    return not fault_log.is_excused(
         StreamEnd("", crash.router, since, crash.at, 0, False, False), ()
     )
--- a/proofs/_soak_judge.py
+++ b/proofs/_soak_judge.py
@@ -1,14 +1,14 @@
-"""What a soak found, and whether a stream that ended early had a reason to.
+"""Holds a soak's findings, and decides whether a stream had a reason to end early.
 
-A stream that a target had begun is to reach its caller whole.  Just these excuse one
-that does not, each at a time between its first byte and its last:
+A stream that a target has started must reach its caller complete.  Only these faults
+excuse one that does not, each at a time between its first byte and its last:
 
 - its router was stopped, killed or told to leave;
-- the relay of a target that it passed did harm;
-- the store's relay did harm.
+- the relay of a target that it passed had a fault;
+- the store's relay had a fault.
 
-No change of the configuration excuses one, and no slow link.  Targets are never told
-to fail.
+Neither a change of the configuration nor a slow link excuses one.  Targets are never
+told to fail.
 """
 
 import math
@@ -24,23 +24,23 @@
 
 @dataclass(slots=True)
 class Findings:
-    """What was sent, what came back, and what broke a promise.
+    """Requests sent, answers received, and violations of guarantees.
 
     Attributes
     ----------
     excused : int
-        Begun streams that ended early and had a reason to.
+        Started streams that ended early and had a reason to.
     crashes : int
-        Targets that ended under requests which crash them.
+        Targets that crashed under requests which crash them.
     queued_s : float
         Longest wait of a byte before a router's link.
     late_s : float
-        Longest time for which the soak's own process was held up: for as long all
-        its targets seem silent.
+        Longest delay of the soak's own process, during which all its targets seem
+        silent.
     """
 
     faults: list[str] = field(default_factory=list)
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     status_by_request: dict[str, int] = field(default_factory=dict)
     statuses: Counter[str] = field(default_factory=Counter)
     excused: int = 0
@@ -65,25 +65,25 @@
     ended_at: float
     status: int
     signed: bool
-    whole: bool
+    complete: bool
 
     @property
-    def cut(self) -> bool:
-        """Return whether it ended in mid answer, or by a failure of the router's."""
+    def is_aborted(self) -> bool:
+        """Return whether it ended in mid answer, or by an error of the router."""
         if self.status >= 500:
             return not self.signed
-        return not self.whole
+        return not self.complete
 
 
-class Harms:
-    """What was harmed, and when."""
+class FaultLog:
+    """The times of faults, by the name of the router or relay."""
 
     def __init__(self):
         self._times_by_name: dict[str, list[list[float]]] = defaultdict(list)
 
     @contextmanager
-    def noted(self, name: str) -> Iterator[None]:
-        """Note a harm from its begin to its end."""
+    def record(self, name: str) -> Iterator[None]:
+        """Record a fault from its start to its end."""
         times = [trio.current_time(), math.inf]
         self._times_by_name[name].append(times)
         try:
@@ -91,16 +91,16 @@
         finally:
             times[1] = trio.current_time()
 
-    def excuse(self, end: StreamEnd, passed: Iterable[str]) -> bool:
-        """Return whether something excuses a stream's end.
+    def is_excused(self, end: StreamEnd, relays: Iterable[str]) -> bool:
+        """Return whether a fault excuses a stream's end.
 
         Parameters
         ----------
-        passed : iterable of str
-            Relays of the targets that it passed.
+        relays : iterable of str
+            Names of the relays of the targets that it passed.
         """
         return any(
             since <= end.ended_at and until >= end.sent_at
-            for name in (end.router, STORE, *passed)
+            for name in (end.router, STORE, *relays)
             for since, until in self._times_by_name[name]
         )
--- a/proofs/_soak_plans.py
+++ b/proofs/_soak_plans.py
@@ -1,4 +1,4 @@
-"""What a soak plays: the kinds of its faults, its callers and its routers' settings."""
+"""Plans of a soak: the kinds of its faults, its callers and its routers' settings."""
 
 from dataclasses import dataclass, field
 
@@ -6,32 +6,32 @@
 from standins.router_process import USUAL_PROMISES
 
 SECOND_KEY = "second-key-of-w2"
-"""A key of callers that is taken away and given back."""
+"""A key of callers that is removed and restored."""
 
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """One way to play the soak.
+    """One way to run the soak.
 
     Attributes
     ----------
     kinds : tuple of str
-        Faults, one of which begins at a time; a kind that is named twice comes twice
-        as often.
+        Kinds of fault, one of which is started at a time; a kind that is listed twice
+        is drawn twice as often.
     calls : tuple of str
-        Kinds of request, drawn alike.
+        Kinds of request, drawn with the same weight for each entry.
     keys : tuple of str
-        Keys of the callers, in turn.
-    most_calls : int
-        Requests that a caller sends on one connection at the most.
+        Keys, assigned to the callers in turn.
+    max_calls : int
+        Maximum number of requests that a caller sends on one connection.
     events, gap_s
         Events of a stream, and the pause before each.
     timeout_ms : float
         Timeout of the stream's route.
     promises : str
-        Lines of the routers' settings.
+        Lines in the section of this name of the routers' settings.
     spares : int
-        Further targets of each kind: what requests that crash targets leave.
+        Additional targets of each kind, so that some remain after crashing requests.
     link_mbps : tuple of float
         Bounds of the bandwidth of each router's link; empty for no bound.
     """
@@ -40,7 +40,7 @@
     calls: tuple[str, ...] = ("read", "post", "post", "stream")
     keys: tuple[str, ...] = (KEY,)
     callers: int = 6
-    most_calls: int = 5
+    max_calls: int = 5
     events: int = 12
     gap_s: float = 0.02
     deadline_s: float = 5.0
@@ -70,14 +70,14 @@
     calls=("read", "post", "stream", "stream", "stream"),
     keys=(KEY, SECOND_KEY),
     callers=12,
-    most_calls=20,
+    max_calls=20,
     events=30,
     gap_s=0.04,
-    # Far longer than any read of a configuration may take: no stream is cut for it.
+    # Far longer than any read of a configuration may take, so none aborts a stream.
     deadline_s=12.0,
     timeout_ms=12000.0,
-    # Three repeats in ten seconds for three routers together, and none for six, each
-    # of which has to leave the others theirs: nothing fails, so none is needed.
+    # Three retries in ten seconds for three routers together, and none for six, each
+    # of which has to leave the others theirs.  Nothing fails, so none is needed.
     promises="retry_slack = 4\nretry_ratio = 0.02\n",
     link_mbps=(5.0, 20.0),
 )
@@ -87,6 +87,6 @@
     kinds=("crash", "crash", "crash", "relay", "reset", "kill", "stop", "hup", "term"),
     spares=4,
 )
-"""Requests that crash targets, beside faults that look like crashes and are none."""
+"""Requests that crash targets, and faults that only look like crashes."""
 
 PLANS = {"faults": FAULTS, "changes": CHANGES, "crashes": CRASHES}
--- a/proofs/_targets.py
+++ b/proofs/_targets.py
@@ -1,7 +1,7 @@
 """An in-memory `TargetPort` whose engines and services fail on demand.
 
-Each attempt runs as a task of its own, as on a real engine: it goes on when its
-reader has lost the connection, and ends when it is cancelled, when its timeout
+Each attempt runs as a task of its own, as on a real engine: it continues when its
+reader loses the connection, and ends when it is cancelled, when its timeout
 passes or when a stage dies.  Words come from `standins.model`, so that an
 oracle knows the only right answer.
 """
@@ -34,7 +34,7 @@
 from standins.model import first_hidden, run_layers, word_of
 
 STEP_S = 0.01
-# As the real port: a connection without a byte for this long is silent.
+# As in the real port, a connection without a byte for this long is silent.
 IDLE_LIMIT_S = 2.0
 CONNECT_TIMEOUT_S = 1.0
 REOPEN_TIMEOUT_S = 2.0
@@ -58,7 +58,7 @@
 
 
 class FakeEngine:
-    """One target, its health, and the troubles that its next tokens meet."""
+    """One target, its health, and the faults to apply to its next tokens."""
 
     __slots__ = ("target", "alive", "frozen", "refusing", "step_s", "troubles", "lost")
 
@@ -69,14 +69,14 @@
         self.refusing = False
         self.step_s = STEP_S
         self.troubles: list[Trouble] = []
-        # How many of the next starts take effect though their answer is lost.
+        # Number of next starts that take effect although their answer is lost.
         self.lost = 0
 
 
 class _Attempt:
-    """An attempt that an engine runs, and the tokens that it has made."""
+    """An attempt that an engine runs, and the tokens that it has generated."""
 
-    __slots__ = ("start", "head", "scope", "tokens", "problem", "_news")
+    __slots__ = ("start", "head", "scope", "tokens", "problem", "_changed")
 
     def __init__(self, start: StreamStart, head: FakeEngine):
         self.start = start
@@ -84,18 +84,18 @@
         self.scope = trio.CancelScope()
         self.tokens: list[Token] = []
         self.problem: Fault | None = None
-        self._news = trio.Event()
+        self._changed = trio.Event()
 
-    def announce(self) -> None:
-        self._news.set()
-        self._news = trio.Event()
+    def notify(self) -> None:
+        self._changed.set()
+        self._changed = trio.Event()
 
     def fail(self, problem: Fault) -> None:
         self.problem = self.problem or problem
-        self.announce()
+        self.notify()
 
-    async def news(self) -> None:
-        await self._news.wait()
+    async def wait_changed(self) -> None:
+        await self._changed.wait()
 
 
 class FakeTargets:
@@ -126,7 +126,7 @@
                 attempt.fail(fault(ResultCode.STREAM_BROKEN, target_id))
 
     def revive(self, target_id: str) -> None:
-        """Start a target again, with no memory of earlier work."""
+        """Start a target again, without any state of earlier work."""
         engine = self.by_id[target_id]
         incarnation = engine.target.incarnation + 1
         engine.target = replace(engine.target, incarnation=incarnation)
@@ -138,11 +138,11 @@
     async def open_stream(self, target: Target, start: StreamStart):
         """Start an attempt; see `TargetPort`."""
         engine = self.by_id[target.id]
-        refusal = await self._reach(engine)
+        refusal = await self._connect(engine)
         if refusal is not None:
             yield Error(refusal)
             return
-        attempt = self._begin(engine, start)
+        attempt = self._start_attempt(engine, start)
         if engine.lost > 0:
             engine.lost -= 1
             yield Error(fault(ResultCode.STREAM_BROKEN, "answer to the start lost"))
@@ -162,7 +162,7 @@
         if limit.cancelled_caught:
             yield Error(fault(ResultCode.STREAM_SILENT, "no answer on reopening"))
             return
-        refusal = await self._reach(engine)
+        refusal = await self._connect(engine)
         running = self._attempts.get((request_id, attempt))
         if refusal is not None:
             yield Error(refusal)
@@ -176,9 +176,9 @@
     async def cancel(
         self, target: Target, request_id: str, attempt: int
     ) -> Result[None, Fault]:
-        """Forget a request's attempts up to this one."""
+        """Cancel a request's attempts up to this one."""
         engine = self.by_id[target.id]
-        refusal = await self._reach(engine)
+        refusal = await self._connect(engine)
         if refusal is not None:
             return Error(refusal)
         for (owner, number), running in self._attempts.items():
@@ -192,7 +192,7 @@
     ) -> Result[ServiceAnswer, Fault]:
         """Run a plain call once and answer with its own body."""
         engine = self.by_id[target.id]
-        refusal = await self._reach(engine)
+        refusal = await self._connect(engine)
         if refusal is not None:
             return Error(refusal)
         self.record.note_call(ServiceCall(request.id, target.id, trio.current_time()))
@@ -206,26 +206,26 @@
         return Ok(ServiceAnswer(200, service_body(request)))
 
     async def load(self, target: Target) -> Result[LoadReport, Fault]:
-        """Report the attempts that the target heads."""
+        """Report the attempts whose first stage is the target."""
         engine = self.by_id[target.id]
-        refusal = await self._reach(engine)
+        refusal = await self._connect(engine)
         if refusal is not None:
             return Error(refusal)
-        held = engine.target
+        current = engine.target
         in_flight = sum(
             attempt.head is engine and attempt.problem is None
             for attempt in self._attempts.values()
         )
         return Ok(
             LoadReport(
-                held.id,
-                held.incarnation,
-                held.layers,
-                held.model,
-                held.model_version,
+                current.id,
+                current.incarnation,
+                current.layers,
+                current.model,
+                current.model_version,
                 in_flight,
                 0,
-                held.slots,
+                current.slots,
                 engine.step_s,
             )
         )
@@ -237,7 +237,7 @@
         return Ok(())
 
     async def order(self, target: Target, order: TargetOrder) -> Result[None, Fault]:
-        """Take every order."""
+        """Accept every order."""
         return Ok(None)
 
     async def export_kv(
@@ -245,14 +245,14 @@
     ) -> Result[KvState, Fault]:
         """Export an empty cache from a target that is alive."""
         engine = self.by_id[target.id]
-        refusal = await self._reach(engine)
+        refusal = await self._connect(engine)
         if refusal is not None:
             return Error(refusal)
         return Ok(KvState(request_id, target.id, engine.target.layers, 0, b""))
 
     async def import_kv(self, target: Target, state: KvState) -> Result[None, Fault]:
-        """Take a cache in."""
-        refusal = await self._reach(self.by_id[target.id])
+        """Import a cache."""
+        refusal = await self._connect(self.by_id[target.id])
         return Ok(None) if refusal is None else Error(refusal)
 
     @asynccontextmanager
@@ -263,19 +263,19 @@
         finally:
             self.record.open_streams -= 1
 
-    async def _reach(self, engine: FakeEngine) -> Fault | None:
-        """Pass the way to a target; return why it was not reached or refused."""
+    async def _connect(self, engine: FakeEngine) -> Fault | None:
+        """Connect to a target; return why it is unreachable or refuses."""
         await trio.lowlevel.checkpoint()
         if engine.frozen:
             await trio.sleep(CONNECT_TIMEOUT_S)
-            return _unreached("connect timed out")
+            return _connect_failed("connect timed out")
         if not engine.alive:
-            return _unreached("connection refused")
+            return _connect_failed("connection refused")
         if engine.refusing:
             return _refused("busy")
         return None
 
-    def _begin(self, engine: FakeEngine, start: StreamStart) -> _Attempt:
+    def _start_attempt(self, engine: FakeEngine, start: StreamStart) -> _Attempt:
         attempt = _Attempt(start, engine)
         self._attempts[start.request_id, start.attempt] = attempt
         ids = tuple(stage.target_id for stage in start.route.stages)
@@ -295,7 +295,7 @@
                     return
                 committed.append(token.text)
                 attempt.tokens.append(token)
-                attempt.announce()
+                attempt.notify()
         if attempt.scope.cancelled_caught:
             attempt.fail(fault(ResultCode.DEADLINE_PASSED, "target's own timeout"))
 
@@ -314,8 +314,8 @@
             while engine.frozen:
                 await trio.sleep(FROZEN_POLL_S)
                 waited_s += FROZEN_POLL_S
-                # The stage before names the one that does not answer; a first
-                # stage that stands still itself names nobody.
+                # The previous stage reports the one that does not answer; a first
+                # stage that has stalled itself reports none.
                 if waited_s >= STEP_TIMEOUT_S and hops:
                     attempt.fail(_stage_failed(stage.target_id))
                     return None
@@ -359,7 +359,7 @@
             elif attempt.problem is not None:
                 return Error(attempt.problem)
             else:
-                await attempt.news()
+                await attempt.wait_changed()
         while attempt.head.frozen:
             await trio.sleep(FROZEN_POLL_S)
         await trio.lowlevel.checkpoint()
@@ -421,7 +421,7 @@
     return Fault(ResultCode.STAGE_FAILED, "stage does not answer", target_id=target_id)
 
 
-def _unreached(detail: str) -> Fault:
+def _connect_failed(detail: str) -> Fault:
     return Fault(ResultCode.CONNECT_FAILED, detail, proven_outcome=Outcome.NOT_RUN)
 
 
--- a/proofs/recovery_test.py
+++ b/proofs/recovery_test.py
@@ -1,4 +1,4 @@
-"""One failure in mid token is survived, and soon enough to be of use."""
+"""Tests that an answer recovers from one failure in mid token in bounded time."""
 
 import pytest
 from hypothesis import given
@@ -9,8 +9,8 @@
 from proofs._targets import CONNECT_TIMEOUT_S, IDLE_LIMIT_S, Trouble
 
 TOKENS = 6
-# A target that is gone says so at once; a silent one is waited for as long as
-# its connection may be idle, once for each connection that is tried.
+# A dead target refuses connections at once.  A silent one is waited for as long
+# as its connection may be idle, once for each connection that is tried.
 GONE_BOUND_S = 1.0
 SILENT_BOUND_S = 3 * (IDLE_LIMIT_S + CONNECT_TIMEOUT_S)
 AFTER_S = st.sampled_from((0.005, 0.015, 0.025, 0.035, 0.055))
@@ -81,10 +81,10 @@
 def test_silence_ends_no_answer_that_cannot_go_on_elsewhere(
     idempotent, replicas, still_s
 ):
-    """The caller sees one whole answer, which was started once.
+    """The caller receives one complete answer, which was started once.
 
-    Its first stage stands still in mid answer, or the host can't hear it for a
-    while.  The request may not run twice, or there is no other first stage.
+    Its first stage stalls in mid answer, or the host receives nothing from it for
+    a while.  The request may not run twice, or there is no other first stage.
     """
     world = ServingWorld(1, 2, replicas)
     caller = world.send(idempotent, TOKENS, 60.0, 0.0)
@@ -93,22 +93,22 @@
     head = world.targets.by_id[start.target_ids[0]]
     head.frozen = True
     world.loop.pass_time(still_s)
-    told_meanwhile = caller.answer
+    answer_meanwhile = caller.answer
     head.frozen = False
     world.loop.pass_time(2 * IDLE_LIMIT_S)
     world.check()
     world.loop.close()
-    assert told_meanwhile is None, told_meanwhile
+    assert answer_meanwhile is None, answer_meanwhile
     assert caller.answer is not None and caller.answer.is_ok(), caller.answer
     assert len(world.targets.record.starts) == 1
 
 
 @pytest.mark.parametrize("cut_s", [3.0, 7.0, 20.0])
 def test_host_that_hears_nobody_for_a_while_ends_no_answer(cut_s):
-    """The caller sees one whole answer, which was started once.
+    """The caller receives one complete answer, which was started once.
 
-    The host loses its way to every target in mid answer and gets it back.  Two
-    targets could run the answer, and neither can be reached meanwhile.
+    The host loses the connection to every target in mid answer and regains it.
+    Two targets could run the answer, and neither can be reached meanwhile.
     """
     world = ServingWorld(1, 1, 2)
     world.tell_load()
@@ -117,23 +117,23 @@
     for head in world.heads():
         head.frozen = True
     world.loop.pass_time(cut_s)
-    told_meanwhile = caller.answer
+    answer_meanwhile = caller.answer
     for head in world.heads():
         head.frozen = False
     world.loop.pass_time(2 * IDLE_LIMIT_S)
     world.check()
     world.loop.close()
-    assert told_meanwhile is None, told_meanwhile
+    assert answer_meanwhile is None, answer_meanwhile
     assert caller.answer is not None and caller.answer.is_ok(), caller.answer
     assert len(world.targets.record.starts) == 1
 
 
 @pytest.mark.parametrize("busy_s", [0.1, 0.5, 0.9])
 def test_answer_goes_on_where_the_only_other_target_is_full_for_a_moment(busy_s):
-    """The caller sees one whole answer although its next target was full.
+    """The caller receives one complete answer although its next target was full.
 
     The first stage dies in mid answer.  The only other one refuses new work for
-    a moment, and says when to come back.
+    a moment, with a time after which to retry.
     """
     world = ServingWorld(1, 1, 2)
     caller = world.send(True, TOKENS, 60.0, 0.0)
@@ -173,11 +173,11 @@
 ):
     """The caller gets its answer although the last trusted replica leaves.
 
-    The path to one replica breaks until it is left out for a while; then it
-    works again.  Before its time is over an operator drains a stage of the
-    other zone's chain, of the same layers or of others: without a link the two
-    zones cover nothing together.  To try the one that was left out costs less
-    than to refuse everybody.
+    The path to one replica breaks until the replica is excluded for a while; then
+    the path works again.  Before the exclusion ends, an operator drains a stage of
+    the other zone's chain, of the same layers or of others: without a link the two
+    zones can't form a chain together.  Trying the excluded replica costs less than
+    refusing every request.
     """
     world = ServingWorld(1, 2, 2)
     broken, other = f"engine-{left_out}-0", f"engine-{drained}-1"
--- a/proofs/router_soak.py
+++ b/proofs/router_soak.py
@@ -1,8 +1,8 @@
-"""The long soak: ``python -m proofs.router_soak --seeds 50 --first 100``.
+"""Runs the long soak: ``python -m proofs.router_soak --seeds 50 --first 100``.
 
-Each seed is a run of its own; what breaks is printed with its seed, and the logs of
-its routers stay in the folder that is named.  ``--faults changes`` plays nothing but
-changes of the configuration beside slow links.
+Each seed is a separate run.  Violations are printed with their seed, and the logs of
+its routers stay in the folder that is printed.  ``--faults changes`` plays only changes
+of the configuration, with slow links.
 """
 
 import sys
@@ -30,7 +30,7 @@
         folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
         ports = free_ports(hosts * PORTS_PER_HOST)
         findings = trio.run(Soak(seed, folder, ports, seconds, PLANS[faults]).run)
-        failed += bool(findings.broken)
+        failed += bool(findings.violations)
         calls = sum(findings.statuses.values())
         click.echo(
             f"seed {seed}: {calls} calls, {len(findings.faults)} faults,"
@@ -39,7 +39,7 @@
             f" late by {findings.late_s:.3f} s,"
             f" {folder.name}"
         )
-        for line in findings.broken[:10]:
+        for line in findings.violations[:10]:
             click.echo(f"  broken: {line}")
     click.echo(f"{seeds} seeds, {failed} with a broken promise")
     sys.exit(1 if failed else 0)
