--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for what surrounds radishfield: engines, services, platform."""
+"""Small stand-ins for the systems around radishfield: engines, services, platform."""
--- a/standins/daemon.py
+++ b/standins/daemon.py
@@ -1,4 +1,4 @@
-"""Serves a stand-in as a process until it is told to stop."""
+"""Serves a stand-in as a process until it receives a stop signal."""
 
 import signal
 
@@ -6,13 +6,13 @@
 from hypercorn.config import Config
 from hypercorn.trio import serve
 
-# Time for the last answers to leave once nothing is in flight any more.
+# Time to send the last answers after all requests have ended.
 CLOSE_S = 2.0
 KEEP_ALIVE_S = 60.0
 
 
 async def serve_until_signal(app, port: int) -> None:
-    """Serve until SIGTERM, then until the application's ``drain`` has ended."""
+    """Serve until SIGTERM or SIGINT, then until the app's ``drain`` has ended."""
     config = Config()
     config.bind = [f"127.0.0.1:{port}"]
     config.keep_alive_timeout = KEEP_ALIVE_S
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,9 +1,9 @@
 """A stand-in for a model engine that holds a range of layers.
 
-The first stage of a route makes the tokens: each step is handed on from stage
-to stage along the route that the entry host chose, and the word comes back with
-the hops it passed.  For comparison an entry host may also call each stage by
-itself.  ``/control`` orders faults and reads what was really run.
+The first stage of a route generates the tokens: each step is forwarded from stage
+to stage along the route that the entry host chose, and the word is returned with
+the hops that ran it.  For comparison an entry host may also call each stage
+itself.  ``/control`` sets faults and returns the record of what was run.
 """
 
 from dataclasses import replace
@@ -32,24 +32,24 @@
 from standins.engine_batch import Batcher
 from standins.engine_control import Controls, EngineFaults
 from standins.engine_orders import Orders
-from standins.engine_steps import Holding, Steps
+from standins.engine_steps import EngineState, Steps
 from standins.engine_streams import Streams
 
 NDJSON = (b"content-type", b"application/x-ndjson")
 NOT_STARTED = (wire.NOT_STARTED_HEADER, b"true")
 BODY_LIMIT = BodyLimit(max_bytes=64 << 20)
 REPORT_LAG_S = 0.5
-# Streams beyond this many times the slots are refused before they start.
+# Streams beyond this multiple of the slots are refused before they start.
 QUEUE_FACTOR = 4
 DRAIN_S = 30.0
 RETRY_AFTER_S = 0.5
 
 
 class EngineApp:
-    """The ASGI application of one engine; `run` is its background work."""
+    """The ASGI application of one engine; `run` runs its background tasks."""
 
     __slots__ = (
-        "holding",
+        "engine_state",
         "controls",
         "steps",
         "streams",
@@ -62,22 +62,22 @@
 
     def __init__(
         self,
-        holding: Holding,
+        engine_state: EngineState,
         step_s: float = 0.002,
         slots: int = 8,
         checks_fencing: bool = True,
         incarnation: int = 1,
     ):
-        self.holding = holding
+        self.engine_state = engine_state
         self.controls = Controls()
         self.incarnation = incarnation
         self.checks_fencing = checks_fencing
-        self.steps = Steps(holding, self.controls, Batcher(step_s, slots))
-        self.orders = Orders(holding, self.steps.kv, self.controls, checks_fencing)
+        self.steps = Steps(engine_state, self.controls, Batcher(step_s, slots))
+        self.orders = Orders(engine_state, self.steps.kv, self.controls, checks_fencing)
         self.streams: Streams | None = None
 
     async def run(self, *, task_status=trio.TASK_STATUS_IGNORED):
-        """Make tokens, run batches and take load reports until cancelled."""
+        """Generate tokens, run batches and update load reports until cancelled."""
         async with trio.open_nursery() as nursery:
             self.streams = Streams(self.steps, nursery)
             await nursery.start(self.steps.batcher.run)
@@ -90,8 +90,8 @@
                 self.steps.kv.drop_idle(trio.current_time())
 
     async def drain(self) -> None:
-        """Refuse new work, and wait until what is in flight has ended."""
-        self.holding.is_leaving = True
+        """Refuse new work, and wait until the work in flight has ended."""
+        self.engine_state.is_leaving = True
         with trio.move_on_after(DRAIN_S):
             while self.streams.running or self.steps.kv.active(trio.current_time()):
                 await trio.sleep(0.05)
@@ -116,8 +116,8 @@
                     msgspec.json.decode(body, type=StreamStart), send, echo
                 )
             case ("POST", wire.REOPEN_PATH):
-                again = msgspec.json.decode(body, type=wire.Reopen)
-                await self._reopen(again, send, echo)
+                reopen = msgspec.json.decode(body, type=wire.Reopen)
+                await self._reopen(reopen, send, echo)
             case ("POST", wire.STEP_PATH):
                 await self._step(msgspec.json.decode(body, type=wire.Step), send)
             case ("POST", wire.CANCEL_PATH):
@@ -135,7 +135,7 @@
                 events = self.steps.prefixes.events(after, trio.current_time())
                 await send_json(send, 200, wire.CacheEvents(events), echo)
             case ("PUT", wire.KV_PATH):
-                self.steps.kv.take(msgspec.json.decode(body, type=KvState))
+                self.steps.kv.import_state(msgspec.json.decode(body, type=KvState))
                 await send_json(send, 200, {}, echo)
             case ("GET", path) if path.startswith(wire.KV_PATH + "/"):
                 await self._export(path.rpartition("/")[2], send, echo)
@@ -155,35 +155,38 @@
                 int(ResultCode.TARGET_REFUSED),
                 reason,
                 RETRY_AFTER_S,
-                self.holding.target_id,
+                self.engine_state.target_id,
             )
             await send_json(send, 503, refusal, [*echo, NOT_STARTED])
             return
         attempt = self.streams.begin(start)
         if attempt is None:
-            refusal = wire.Refusal(int(ResultCode.TARGET_ERROR), "attempt is known")
+            refusal = wire.Refusal(
+                int(ResultCode.TARGET_ERROR),
+                "the attempt, or a newer one, was started before",
+            )
             await send_json(send, 409, refusal, echo)
             return
         await start_answer(send, 200, [NDJSON, *echo])
         await self.streams.send(attempt, attempt.first_position, send)
 
     def _refusal(self) -> str:
-        if self.holding.is_leaving:
+        if self.engine_state.is_leaving:
             return "leaving"
         if self.controls.faults.refuse:
-            return "told to refuse"
+            return "refused by a configured fault"
         if self.streams.running >= self.steps.batcher.slots * QUEUE_FACTOR:
             return "full"
         return ""
 
-    async def _reopen(self, again: wire.Reopen, send, echo) -> None:
-        attempt = self.streams.find(again.request_id, again.attempt)
-        if attempt is None or again.position < attempt.first_position:
+    async def _reopen(self, reopen: wire.Reopen, send, echo) -> None:
+        attempt = self.streams.find(reopen.request_id, reopen.attempt)
+        if attempt is None or reopen.position < attempt.first_position:
             refusal = wire.Refusal(int(ResultCode.TARGET_REFUSED), "no such attempt")
             await send_json(send, 503, refusal, [*echo, NOT_STARTED])
             return
         await start_answer(send, 200, [NDJSON, *echo])
-        await self.streams.send(attempt, again.position, send)
+        await self.streams.send(attempt, reopen.position, send)
 
     async def _step(self, step: wire.Step, send) -> None:
         done = await self.steps.run(step)
@@ -201,11 +204,11 @@
         if code is ResultCode.FINISHED:
             await send_json(send, 200, wire.OrderDone(order.fencing), echo)
         else:
-            refusal = wire.Refusal(int(code), target_id=self.holding.target_id)
+            refusal = wire.Refusal(int(code), target_id=self.engine_state.target_id)
             await send_json(send, 409, refusal, echo)
 
     async def _export(self, request_id: str, send, echo) -> None:
-        state = self.steps.kv.export(request_id, self.holding.target_id)
+        state = self.steps.kv.export(request_id, self.engine_state.target_id)
         if state is None:
             refusal = wire.Refusal(int(ResultCode.TARGET_REFUSED), "no such request")
             await send_json(send, 404, refusal, echo)
@@ -213,14 +216,14 @@
             await send_json(send, 200, state, echo)
 
     def _take_report(self) -> None:
-        held, batcher = self.holding, self.steps.batcher
+        state, batcher = self.engine_state, self.steps.batcher
         self._reported_at = trio.current_time()
         self._report = LoadReport(
-            held.target_id,
+            state.target_id,
             self.incarnation,
-            held.layers,
-            held.model,
-            held.model_version,
+            state.layers,
+            state.model,
+            state.model_version,
             self.steps.kv.active(self._reported_at),
             batcher.waiting,
             batcher.slots,
@@ -229,9 +232,9 @@
         )
 
     def _lagging_report(self) -> LoadReport:
-        """Return figures of a while ago, but the leaving state at once."""
+        """Return the last periodic load figures with the current leaving state."""
         age = trio.current_time() - self._reported_at
-        leaving = self.holding.is_leaving
+        leaving = self.engine_state.is_leaving
         return replace(self._report, leaving=leaving, measured_s_ago=age)
 
 
@@ -259,8 +262,8 @@
     checks_fencing,
 ):
     """Run one engine stand-in."""
-    holding = Holding(target_id, model, model_version, LayerRange(first, end))
-    app = EngineApp(holding, step_ms / 1000, slots, checks_fencing, incarnation)
+    engine_state = EngineState(target_id, model, model_version, LayerRange(first, end))
+    app = EngineApp(engine_state, step_ms / 1000, slots, checks_fencing, incarnation)
     trio.run(serve_until_signal, app, port)
 
 
--- a/standins/engine_batch.py
+++ b/standins/engine_batch.py
@@ -1,4 +1,4 @@
-"""Continuous batching in small: steps run together, a larger batch is slower."""
+"""A small model of continuous batching, in which larger batches are slower."""
 
 import heapq
 import itertools
@@ -6,12 +6,12 @@
 import trio
 
 # A batch of eight takes about one and a half times as long as a single step,
-# which is the shape that memory-bound decoding has.
-COST_OF_ONE_MORE = 0.07
-# Seconds of prefill for a token, as a part of a step: prompts are read in
-# parallel, so many tokens cost as much as one step.
-PREFILL_PART = 0.02
-# Weight of the newest step in the mean that the load report carries.
+# as in memory-bound decoding.
+COST_PER_EXTRA_STEP = 0.07
+# Prefill time of one token as a fraction of a step: prompt tokens are processed
+# in parallel, so many of them cost as much as one step.
+PREFILL_STEPS_PER_TOKEN = 0.02
+# Weight of the newest batch in the mean step time of the load report.
 MEAN_WEIGHT = 0.1
 
 
@@ -31,7 +31,7 @@
 
     @property
     def waiting(self) -> int:
-        """Return how many steps wait for a batch."""
+        """Return the number of steps waiting for a batch."""
         return len(self._heap)
 
     async def step(self, priority: int, prefill_tokens: int) -> None:
@@ -49,7 +49,7 @@
             await self._wake.wait()
             size = min(self.slots, len(self._heap))
             batch = [heapq.heappop(self._heap) for _ in range(size)]
-            seconds = self._seconds(batch)
+            seconds = self._batch_seconds(batch)
             self.mean_s += (seconds - self.mean_s) * MEAN_WEIGHT
             await trio.sleep(seconds)
             for _, _, _, done in batch:
@@ -57,7 +57,7 @@
             if not self._heap:
                 self._wake = trio.Event()
 
-    def _seconds(self, batch) -> float:
-        prefill = sum(tokens for _, _, tokens, _ in batch) * PREFILL_PART
-        grown = 1.0 + COST_OF_ONE_MORE * (len(batch) - 1) + prefill
-        return self.step_s * self.slow_factor * grown
+    def _batch_seconds(self, batch) -> float:
+        prefill = sum(tokens for _, _, tokens, _ in batch) * PREFILL_STEPS_PER_TOKEN
+        cost = 1.0 + COST_PER_EXTRA_STEP * (len(batch) - 1) + prefill
+        return self.step_s * self.slow_factor * cost
--- a/standins/engine_control.py
+++ b/standins/engine_control.py
@@ -1,4 +1,4 @@
-"""What a test may order an engine stand-in to do wrong, and what it really ran."""
+"""Faults that a test sets in an engine stand-in, and the record of what it ran."""
 
 import os
 from collections.abc import Callable
@@ -6,26 +6,26 @@
 
 from radishfield.core import LayerRange
 
-# A record is read by tests of seconds; older entries would only fill memory.
+# Bounds memory: tests last seconds and need no more entries than this.
 MAX_ENTRIES = 200_000
 
 
 @dataclass(slots=True, frozen=True)
 class EngineFaults:
-    """Faults in force; each position counts the tokens of an answer.
+    """Active faults; positions are token positions in an answer.
 
     Attributes
     ----------
     die_at : int or None
-        The process ends in the middle of this token.
+        The process ends while it computes this token.
     hang_at : int or None
-        Steps from this token on never end, on any connection.
+        Steps from this token on never complete, on any connection.
     silent_at : int or None
-        Connections open at this token go silent; new ones work.
+        A connection that is open at this token stalls; new ones work.
     truncate_at : int or None
-        The stream ends in order before this token.
+        The stream ends without an error before this token.
     corrupt_at : int or None
-        This token's receipt misses its last stage.
+        This token's receipt lacks its last stage.
     slow_factor : float
         Multiplies the time of each step.
     refuse : bool
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StepRun:
-    """Layers that were run here for one token; ``refused`` says why not."""
+    """Layers that were run here for one token, or ``refused`` with the reason."""
 
     request_id: str
     attempt: int
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OrderRun:
-    """An order that was carried out, or the number of its refusal."""
+    """An executed or refused order with its result code."""
 
     kind: str
     fencing: int
@@ -72,21 +72,21 @@
 
 @dataclass(slots=True)
 class Record:
-    """What an engine really did, for tests that judge what callers got."""
+    """What an engine ran, for tests that check the answers that callers received."""
 
     starts: list[StartRun] = field(default_factory=list)
     steps: list[StepRun] = field(default_factory=list)
     orders: list[OrderRun] = field(default_factory=list)
 
     def step(self, run: StepRun) -> None:
-        """Note a step, within the bound."""
+        """Record a step unless ``MAX_ENTRIES`` is reached."""
         if len(self.steps) < MAX_ENTRIES:
             self.steps.append(run)
 
 
 @dataclass(slots=True)
 class Controls:
-    """The faults in force, and how the process ends when told to die."""
+    """The active faults, the record, and the function that ends the process."""
 
     faults: EngineFaults = field(default_factory=EngineFaults)
     record: Record = field(default_factory=Record)
--- a/standins/engine_steps.py
+++ b/standins/engine_steps.py
@@ -1,4 +1,4 @@
-"""Runs one token's step on this engine's layers, and hands it on."""
+"""Runs one token's step on this engine's layers and forwards it."""
 
 from dataclasses import dataclass, replace
 
@@ -14,15 +14,15 @@
 from standins.engine_control import Controls, StepRun
 from standins.model import run_layers
 
-# Per stage that is still to come: the last one's caller times out first, so
-# that the stage at fault is named, and not the one before it.
+# Timeout for each remaining stage.  The caller of the last stage times out first,
+# so that the failed stage is reported and not the one before it.
 HOP_TIMEOUT_S = 2.0
 CONNECT_TIMEOUT_S = 0.5
 
 
 @dataclass(slots=True)
-class Holding:
-    """What this engine holds now; orders change it."""
+class EngineState:
+    """What this engine serves at the moment; orders change it."""
 
     target_id: str
     model: str
@@ -34,46 +34,46 @@
 
 
 class Steps:
-    """The layers of one engine, its caches, and the way to the next stage."""
+    """Runs steps on an engine's layers and caches, and forwards them."""
 
-    __slots__ = ("holding", "controls", "batcher", "kv", "prefixes", "_pool")
+    __slots__ = ("engine_state", "controls", "batcher", "kv", "prefixes", "_pool")
 
-    def __init__(self, holding: Holding, controls: Controls, batcher: Batcher):
-        self.holding = holding
+    def __init__(self, engine_state: EngineState, controls: Controls, batcher: Batcher):
+        self.engine_state = engine_state
         self.controls = controls
         self.batcher = batcher
         self.kv = KvCache()
-        self.prefixes = PrefixCache(holding.target_id)
+        self.prefixes = PrefixCache(engine_state.target_id)
         self._pool = httpcore.AsyncConnectionPool(max_connections=512)
 
     async def run(self, step: Step) -> Result[Step, Fault]:
-        """Run this stage's part, and all later ones where it hands on."""
+        """Run this stage, and all later ones if the step is to be forwarded."""
         stage = step.route.stages[step.index]
         refusal = self._refusal(step, stage.layers)
         if refusal:
-            self._note(step, stage.layers, refusal)
-            return Error(self._fault(refusal, self.holding.target_id))
+            self._record_step(step, stage.layers, refusal)
+            return Error(self._fault(refusal, self.engine_state.target_id))
         await self._compute(step, stage.layers)
         hidden = run_layers(step.hidden, stage.layers.first, stage.layers.end)
-        hop = Hop(self.holding.target_id, stage.layers)
+        hop = Hop(self.engine_state.target_id, stage.layers)
         hops = (*step.hops, hop)
-        passed = replace(step, hidden=hidden, index=step.index + 1, hops=hops)
+        next_step = replace(step, hidden=hidden, index=step.index + 1, hops=hops)
         if step.is_last:
             self.kv.end(step.request_id, step.attempt)
-        if not step.hand_on or passed.index == len(step.route.stages):
-            return Ok(passed)
-        return await self._hand_on(passed)
+        if not step.hand_on or next_step.index == len(step.route.stages):
+            return Ok(next_step)
+        return await self._forward(next_step)
 
     def _refusal(self, step: Step, layers: LayerRange) -> str:
-        held = self.holding
-        if layers.first < held.layers.first or layers.end > held.layers.end:
+        state = self.engine_state
+        if layers.first < state.layers.first or layers.end > state.layers.end:
             return "the layers are not held here"
         if (step.route.model, step.route.model_version) != (
-            held.model,
-            held.model_version,
+            state.model,
+            state.model_version,
         ):
             return "another model version is held here"
-        if held.is_leaving and step.is_first and step.index > 0:
+        if state.is_leaving and step.is_first and step.index > 0:
             return "leaving"
         return self.kv.refusal(
             step.request_id, step.attempt, step.position, step.is_first
@@ -97,13 +97,13 @@
         await self.batcher.step(step.priority, prefill)
         if faults.die_at is not None and step.position >= faults.die_at:
             self.controls.die(9)
-        self._note(step, layers, "")
+        self._record_step(step, layers, "")
 
-    def _note(self, step: Step, layers: LayerRange, refused: str) -> None:
+    def _record_step(self, step: Step, layers: LayerRange, refused: str) -> None:
         run = StepRun(step.request_id, step.attempt, step.position, layers, refused)
         self.controls.record.step(run)
 
-    async def _hand_on(self, step: Step) -> Result[Step, Fault]:
+    async def _forward(self, step: Step) -> Result[Step, Fault]:
         stage = step.route.stages[step.index]
         remaining = len(step.route.stages) - step.index
         timeouts = {"connect": CONNECT_TIMEOUT_S, "read": HOP_TIMEOUT_S * remaining}
@@ -126,15 +126,15 @@
         refusal = msgspec.json.decode(answer.content, type=Refusal)
         return Error(self._fault(refusal.detail, refusal.target_id))
 
-    async def forget(self, route: Route, request_id: str, attempt: int) -> None:
+    async def drop_caches(self, route: Route, request_id: str, attempt: int) -> None:
         """Drop a request's cache here and at the other stages of its route."""
         self.kv.end(request_id, attempt)
         content = msgspec.json.encode(Cancel(request_id, attempt))
         for stage in route.stages:
-            if stage.target_id != self.holding.target_id:
-                await self._forget_at(stage.address, content)
+            if stage.target_id != self.engine_state.target_id:
+                await self._drop_cache_at(stage.address, content)
 
-    async def _forget_at(self, address: str, content: bytes) -> None:
+    async def _drop_cache_at(self, address: str, content: bytes) -> None:
         timeouts = {"connect": CONNECT_TIMEOUT_S, "read": CONNECT_TIMEOUT_S}
         try:
             await self._pool.request(
@@ -148,7 +148,7 @@
             httpcore.TimeoutException,
             httpcore.RemoteProtocolError,
         ):
-            # What is not forgotten now is dropped once it has been idle.
+            # A cache that is not dropped now is dropped once it has been idle.
             return
 
     def _fault(self, detail: str, target_id: str) -> Fault:
--- a/standins/engine_test.py
+++ b/standins/engine_test.py
@@ -1,4 +1,4 @@
-"""Tests of the targets' edge against engine stand-ins over real connections."""
+"""Tests of the target client against engine stand-ins over real connections."""
 
 import subprocess
 import sys
@@ -25,18 +25,18 @@
 from radishfield.pipeline import PipelineState
 from standins.engine import EngineApp
 from standins.engine_control import EngineFaults
-from standins.engine_steps import Holding
+from standins.engine_steps import EngineState
 from standins.model import expected_words
 from standins.ports import free_port
 
-QUICK = TargetTimeouts(first_token_s=3.0, idle_s=0.3, control_s=1.0)
-CUTS = ((0, 4), (4, 8), (8, 12))
+SHORT_TIMEOUTS = TargetTimeouts(first_token_s=3.0, idle_s=0.3, control_s=1.0)
+LAYER_RANGES = ((0, 4), (4, 8), (8, 12))
 LAYERS = 12
 PROMPT = "Check the delegation note."
 
 
 class Engines:
-    """Three stages in this process, each behind its own listener."""
+    """Engine stand-ins in this process, each with its own listener."""
 
     __slots__ = ("apps", "targets", "route", "port", "scopes")
 
@@ -44,11 +44,11 @@
         self.apps = []
         self.targets = []
         self.scopes = []
-        self.port = EngineTargets(QUICK)
+        self.port = EngineTargets(SHORT_TIMEOUTS)
 
     async def start(self, nursery, first, end):
         name = f"e{len(self.apps)}"
-        app = EngineApp(Holding(name, "small", "1", LayerRange(first, end)), 0.001)
+        app = EngineApp(EngineState(name, "small", "1", LayerRange(first, end)), 0.001)
         address = f"127.0.0.1:{free_port()}"
         config = Config()
         config.bind = [address]
@@ -72,23 +72,23 @@
             Stage(
                 self.targets[index].id,
                 self.targets[index].address,
-                self.apps[index].holding.layers,
+                self.apps[index].engine_state.layers,
             )
             for index in indices
         )
         self.route = Route(stages, "small", "1", LAYERS)
 
     async def read(self, state, attempt, count=8, stop_at=None):
-        """Run one attempt; return the fault that ended it, if one did."""
+        """Run one attempt; return the fault that ended it, or None."""
         state.start_attempt(attempt, self.route)
         start = StreamStart(
             "r", attempt, self.route, PROMPT, state.committed, count, 5.0
         )
         async with self.port.open_stream(self.targets[0], start) as opened:
-            return await read_on(opened, state, stop_at)
+            return await read_remaining(opened, state, stop_at)
 
 
-async def read_on(opened, state, stop_at=None):
+async def read_remaining(opened, state, stop_at=None):
     if opened.is_error():
         return opened.error
     while state.finish is None and state.next_position != stop_at:
@@ -106,7 +106,7 @@
 async def engines(extra=()):
     started = Engines()
     async with trio.open_nursery() as nursery:
-        for first, end in (*CUTS, *extra):
+        for first, end in (*LAYER_RANGES, *extra):
             await started.start(nursery, first, end)
         started.set_route()
         yield started
@@ -117,7 +117,7 @@
     return expected_words("small", PROMPT, LAYERS, count)
 
 
-def steps_of(app):
+def completed_steps(app):
     return [step for step in app.controls.record.steps if not step.refused]
 
 
@@ -128,19 +128,19 @@
             assert await fleet.read(state, 1) is None
             assert state.committed == expected()
             for app in fleet.apps:
-                positions = [step.position for step in steps_of(app)]
+                positions = [step.position for step in completed_steps(app)]
                 assert positions == list(range(8))
                 assert app.steps.kv.active(trio.current_time()) == 0
 
     trio.run(main)
 
 
-def test_a_stage_that_dies_is_named_and_the_next_attempt_goes_on_from_its_cache():
-    """The caller gets the whole answer though a stage died in the middle.
+def test_hung_stage_is_reported_and_next_attempt_resumes_from_exported_cache():
+    """The caller receives the complete answer although a stage failed midway.
 
-    The last stage hangs at a token.  The stage before it times out and names
-    it in the stream; the first stages' caches are exported to where the new
-    route needs them, and the next attempt starts at the committed position.
+    The last stage hangs at a token.  The stage before it times out and reports
+    it in the stream; the caches of earlier stages are exported to the targets of
+    the new route, and the next attempt starts at the committed position.
     """
 
     async def main():
@@ -157,18 +157,18 @@
             fleet.set_route((0, 1, 3))
             assert await fleet.read(state, 2) is None
             assert state.committed == expected()
-            ran = [step.position for step in steps_of(fleet.apps[3])]
+            ran = [step.position for step in completed_steps(fleet.apps[3])]
             assert ran == [3, 4, 5, 6, 7]
 
     trio.run(main)
 
 
 def test_a_silent_connection_is_replaced_and_nothing_runs_twice():
-    """The caller gets the whole answer over a second connection.
+    """The caller receives the complete answer over a second connection.
 
-    The first stage's connection goes silent at a token while the engine works
-    on.  The attempt is attached to again from the committed position; the
-    engine's own record shows each step once.
+    The first stage's connection stalls at a token while the engine keeps running.
+    The attempt's stream is reopened from the committed position; the engines'
+    records show each step once.
     """
 
     async def main():
@@ -177,28 +177,30 @@
             state = PipelineState("r", 8)
             problem = await fleet.read(state, 1)
             assert problem.code == ResultCode.STREAM_SILENT
-            again = fleet.port.reopen_stream(
+            reopened = fleet.port.reopen_stream(
                 fleet.targets[0], "r", 1, state.next_position
             )
-            async with again as opened:
-                assert await read_on(opened, state) is None
+            async with reopened as opened:
+                assert await read_remaining(opened, state) is None
             assert state.committed == expected()
             for app in fleet.apps:
-                assert [step.position for step in steps_of(app)] == list(range(8))
-            gone = fleet.port.reopen_stream(fleet.targets[0], "r", 2, 0)
-            async with gone as opened:
+                assert [step.position for step in completed_steps(app)] == list(
+                    range(8)
+                )
+            unknown = fleet.port.reopen_stream(fleet.targets[0], "r", 2, 0)
+            async with unknown as opened:
                 assert opened.error.code == ResultCode.TARGET_REFUSED
                 assert opened.error.outcome == "unknown"
 
     trio.run(main)
 
 
-def test_a_process_that_dies_in_the_middle_of_a_token_is_named():
-    """The caller's request can be planned anew around the stage that died.
+def test_process_that_dies_while_computing_a_token_is_reported():
+    """The caller's request can be routed around a stage that died.
 
-    The last stage is a process of its own and ends in the middle of a token,
-    after it computed and before it answered.  Its predecessor names it in the
-    stream; the token that was lost is made again by the next attempt.
+    The last stage is a separate process and exits within a token, after it
+    computed and before it answered.  The stage before it reports it in the
+    stream; the next attempt generates the missing token again.
     """
 
     async def main():
@@ -242,10 +244,10 @@
                 return
             except httpcore.ConnectError:
                 await trio.sleep(0.1)
-    raise AssertionError("the engine did not start")
+    raise AssertionError("the engine did not start within 100 attempts")
 
 
-def test_spoilt_answers_are_never_taken_for_whole_ones():
+def test_faulty_answers_are_never_accepted_as_complete():
     async def main():
         async with engines() as fleet:
             for attempt, faults, code in (
@@ -262,7 +264,7 @@
     trio.run(main)
 
 
-def test_a_cancel_ends_the_attempt_at_every_stage_and_spares_a_newer_one():
+def test_cancel_ends_the_attempt_at_every_stage_but_not_a_newer_attempt():
     async def main():
         async with engines() as fleet:
             state = PipelineState("r", 400)
@@ -280,7 +282,7 @@
 
 
 def test_a_step_that_is_sent_again_is_refused_and_not_run_twice():
-    """No cache is corrupted by a repeat of a step on another connection."""
+    """A step that is sent again on another connection corrupts no cache."""
 
     async def main():
         async with engines() as fleet:
@@ -294,7 +296,7 @@
     trio.run(main)
 
 
-def test_a_leaving_engine_refuses_before_it_starts_and_ends_what_runs():
+def test_leaving_engine_refuses_new_streams_and_completes_running_ones():
     async def main():
         async with engines() as fleet:
             state = PipelineState("r", 40)
@@ -322,8 +324,8 @@
 
             async def order(kind, fencing, timeout_s=1.0, layers=(0, 0)):
                 argument = "x"
-                given = TargetOrder(kind, argument, fencing, timeout_s, layers)
-                return await port.order(target, given)
+                target_order = TargetOrder(kind, argument, fencing, timeout_s, layers)
+                return await port.order(target, target_order)
 
             assert (await order("set-role", 5)).is_ok()
             fenced = await order("set-role", 4)
@@ -333,12 +335,12 @@
                 await trio.sleep(0.05)
                 late = await order("set-role", 6, timeout_s=0.01)
                 assert late.error.code == ResultCode.ORDER_LATE
-            assert fleet.apps[0].holding.layers == LayerRange(0, 8)
+            assert fleet.apps[0].engine_state.layers == LayerRange(0, 8)
 
     trio.run(main)
 
 
-def test_cache_events_come_late_and_load_reports_carry_their_age():
+def test_cache_events_are_delayed_and_load_reports_carry_their_age():
     async def main():
         async with engines() as fleet:
             assert await fleet.read(PipelineState("r", 8), 1) is None
--- a/standins/entry_host.py
+++ b/standins/entry_host.py
@@ -1,7 +1,7 @@
 """Entry hosts' fleet services on in-memory edges, for tests and benches.
 
 The services are the real ones; only the network, the platform and the targets
-are stand-ins.  In trio's virtual time a fleet of dozens runs in seconds.
+are stand-ins.  In trio's virtual time dozens of hosts run in seconds.
 """
 
 import random
@@ -38,8 +38,8 @@
 SEEDS = ("h0:1", "h1:1", "h2:1")
 
 
-class QuietTargets:
-    """The part of `TargetPort` that a fleet without traffic calls."""
+class IdleTargets:
+    """The methods of `TargetPort` that a fleet without traffic calls."""
 
     __slots__ = ("polls",)
 
@@ -71,19 +71,19 @@
     def __init__(self, fleet: "MemoryFleet", number: int):
         self.id, self.zone = f"h{number}", f"z{number % fleet.zones}"
         self.address = f"{self.id}:1"
-        clock, chance = TrioClock(), random.Random(number)
+        clock, rng = TrioClock(), random.Random(number)
         settings = PeerSettings(
             self.id, self.zone, self.address, KEYS, SEEDS, fleet.period_s, 1
         )
         self.peers = PeerNetwork(
-            settings, clock, fleet.network.transport(self.address), chance
+            settings, clock, fleet.network.transport(self.address), rng
         )
         self.facts = FactTable()
         port = fleet.platform.as_caller(self.id)
         self.store = ProfileStore(port, self.facts)
         self.directory = TargetDirectory(self.zone, self.facts, self.peers, clock)
         self.spreader = FactSpreader(
-            SpreadSettings(self.id, self.zone), self.peers, self.facts, clock, chance
+            SpreadSettings(self.id, self.zone), self.peers, self.facts, clock, rng
         )
         self.watcher = PlatformWatcher(
             WatcherSettings(self.id, self.zone),
@@ -92,7 +92,7 @@
             self.facts,
             clock,
             self.directory.see_hosts,
-            chance,
+            rng,
         )
         self.poller = LoadPoller(
             PollerSettings(self.id, self.zone),
@@ -101,7 +101,7 @@
             self.peers,
             self.facts,
             clock,
-            chance=chance,
+            chance=rng,
         )
         self.operations = FleetOperations(
             FleetParts(
@@ -128,12 +128,12 @@
                 task_status.started()
 
     def stop(self) -> None:
-        """Die at once, without a word to the others."""
+        """Stop at once, without notifying the other hosts."""
         self._scope.cancel()
 
 
 class MemoryFleet:
-    """Entry hosts in some zones, one network and one platform."""
+    """Entry hosts in several zones that share one network and one platform."""
 
     def __init__(
         self,
@@ -147,29 +147,31 @@
         self.period_s = period_s
         self.network = MemoryNetwork(seed)
         self.platform = FakePlatform(TrioClock())
-        self.targets = QuietTargets()
+        self.targets = IdleTargets()
         self.hosts: list[MemoryHost] = []
         self._next_number = 0
 
     async def add(self, count: int) -> Sequence[MemoryHost]:
-        """Start so many more hosts, spread over the zones in turn."""
+        """Start ``count`` more hosts, assigned to the zones in turn."""
         added = []
         for _ in range(count):
-            a_host = MemoryHost(self, self._next_number)
+            host = MemoryHost(self, self._next_number)
             self._next_number += 1
-            added.append(a_host)
-            self.hosts.append(a_host)
-            await self.nursery.start(a_host.run)
+            added.append(host)
+            self.hosts.append(host)
+            await self.nursery.start(host.run)
         return added
 
     def cut_zone(self, zone: str) -> None:
-        """Cut a zone off from the other zones and from the platform."""
-        inside = [a_host for a_host in self.hosts if a_host.zone == zone]
-        cut = {a_host.address for a_host in inside}
-        self.network.faults.is_cut = lambda one, other: (one in cut) != (other in cut)
-        self.platform.faults.cut_off.update(a_host.id for a_host in inside)
+        """Disconnect a zone from the other zones and from the platform."""
+        zone_hosts = [host for host in self.hosts if host.zone == zone]
+        partitioned = {host.address for host in zone_hosts}
+        self.network.faults.is_cut = lambda one, other: (one in partitioned) != (
+            other in partitioned
+        )
+        self.platform.faults.cut_off.update(host.id for host in zone_hosts)
 
     def heal(self) -> None:
-        """End all cuts."""
+        """Remove all partitions."""
         self.network.faults.is_cut = lambda one, other: False
         self.platform.faults.cut_off.clear()
--- a/standins/fakes.py
+++ b/standins/fakes.py
@@ -1,7 +1,7 @@
-"""In-memory fakes of the ports, with switches for the faults they stand for.
+"""In-memory fakes of the ports, with switches that inject faults.
 
-They run in whatever time they are given, so that a test in trio's virtual time
-plays an outage of minutes in milliseconds.
+They take their time from the given clock and from trio, so that a test in trio's
+virtual time simulates an outage of minutes in milliseconds.
 """
 
 from collections import Counter, deque
@@ -24,19 +24,19 @@
 )
 
 MAX_VALUE_BYTES = 1 << 20
-"""The platform holds values of up to a megabyte."""
+"""The platform accepts values of up to one megabyte."""
 
 WRITES_PER_S = 400
 READS_PER_S = 2_000
-"""The rates that the platform takes: several hundred writes, 2,000 reads."""
+"""Rate limits of the platform: several hundred writes and 2,000 reads a second."""
 
 WATCH_LOG_LENGTH = 1_000
-"""Changes that a watch can still be given; an older revision is a gap."""
+"""Number of changes kept for watches; a watch from before them reports a gap."""
 
 
 @dataclass(slots=True)
 class PlatformFaults:
-    """Switches that tests and the control route turn.
+    """Switches that tests and the control route set.
 
     Attributes
     ----------
@@ -45,17 +45,18 @@
     delay_s : float
         Every call takes this much longer.
     lost_answers : int
-        How many of the next writes take effect while their answers are lost.
+        Number of next writes that take effect but whose answers are lost.
     lost_writes : int
-        How many of the next writes are lost on the way, also without an answer.
+        Number of next writes that are lost before they take effect, also
+        without an answer.
     skipped_events : int
-        How many of the next changes no watch is told of.
+        Number of next changes that are reported to no watch.
     stale_reads : int
-        How many of the next reads return the version before the present one.
+        Number of next reads that return the previous version.
     host_list_lag_s : float
-        Age of the list of hosts that is given out.
+        Age of the list of hosts that is returned.
     cut_off : set of str
-        Callers that reach the platform no more.
+        Callers that cannot reach the platform.
     """
 
     down: bool = False
@@ -70,9 +71,9 @@
 
 @dataclass(slots=True)
 class PlatformState:
-    """What all callers of one fake platform share.
+    """State that all callers of one fake platform share.
 
-    ``calls_by_caller_and_kind`` counts each call; a waiting watch is one.
+    ``calls_by_caller_and_kind`` counts each call; a waiting watch is one call.
     """
 
     clock: Clock
@@ -90,7 +91,7 @@
     changed: trio.Event = field(default_factory=trio.Event)
 
     def wake(self) -> None:
-        """Let waiting watches look again."""
+        """Make waiting watches check for changes."""
         self.changed.set()
         self.changed = trio.Event()
 
@@ -101,9 +102,9 @@
     Parameters
     ----------
     clock : Clock
-        Time of the rate limits and of the lag of the host list.
+        Clock for the rate limits and for the lag of the host list.
     caller : str
-        Under which name calls are counted; see `as_caller`.
+        Name under which calls are counted; see `as_caller`.
     """
 
     __slots__ = ("_caller", "state")
@@ -114,35 +115,35 @@
 
     @property
     def faults(self) -> PlatformFaults:
-        """Return the switches, to be changed in place."""
+        """Return the switches, which tests change in place."""
         return self.state.faults
 
     def as_caller(self, caller: str) -> "FakePlatform":
-        """Return the same platform as another caller sees it."""
+        """Return a port to the same platform for another caller."""
         return FakePlatform(self.state.clock, caller, self.state)
 
     def set_hosts(self, hosts: Sequence[Host]) -> None:
-        """Replace the list of hosts; callers see it after the lag."""
+        """Replace the list of hosts; callers receive it after the lag."""
         self.state.host_lists.append((self.state.clock.now(), tuple(hosts)))
 
     def set_down(self, down: bool) -> None:
-        """Take the platform down or up; waiting watches fail at once."""
+        """Set whether the platform is down; if so, waiting watches fail at once."""
         self.faults.down = down
         self.state.wake()
 
     def calls(self, caller: str | None = None, kind: str | None = None) -> int:
-        """Return how many calls came, of one caller or kind or of all."""
+        """Return the number of calls, of one caller or kind or of all."""
         return sum(
             count
-            for (a_caller, a_kind), count in (
+            for (counted_caller, counted_kind), count in (
                 self.state.calls_by_caller_and_kind.items()
             )
-            if caller in (None, a_caller) and kind in (None, a_kind)
+            if caller in (None, counted_caller) and kind in (None, counted_kind)
         )
 
     async def read(self, kind: str, name: str) -> Result[StoredObject, Fault]:
         """Return an object, or ``OBJECT_NOT_FOUND``."""
-        problem = await self._arrive("read", is_write=False)
+        problem = await self._admit_call("read", is_write=False)
         if problem is not None:
             return Error(problem)
         stored = self.state.objects_by_key.get((kind, name))
@@ -157,73 +158,85 @@
         self, kind: str, name: str, value: bytes, expected_version: int
     ) -> Result[StoredObject, Fault]:
         """Write if the stored version is the expected one."""
-        problem = await self._arrive("write", is_write=True)
+        problem = await self._admit_call("write", is_write=True)
         if problem is not None:
             return Error(problem)
         if len(value) > MAX_VALUE_BYTES:
             return Error(fault(ResultCode.VALUE_TOO_LARGE, f"{len(value)} bytes"))
         if self.faults.lost_writes > 0:
             self.faults.lost_writes -= 1
-            return Error(fault(ResultCode.PLATFORM_AMBIGUOUS, "write lost"))
-        present = self.state.objects_by_key.get((kind, name))
-        version = 0 if present is None else present.version
+            return Error(
+                fault(ResultCode.PLATFORM_AMBIGUOUS, "simulated loss of the write")
+            )
+        current = self.state.objects_by_key.get((kind, name))
+        version = 0 if current is None else current.version
         if version != expected_version:
             detail = f"{kind}/{name} is at {version}, not {expected_version}"
             return Error(fault(ResultCode.PLATFORM_CONFLICT, detail))
-        stored = self._store(StoredObject(kind, name, version + 1, value), present)
+        stored = self._store(StoredObject(kind, name, version + 1, value), current)
         if self.faults.lost_answers > 0:
             self.faults.lost_answers -= 1
-            return Error(fault(ResultCode.PLATFORM_AMBIGUOUS, "answer lost"))
+            return Error(
+                fault(
+                    ResultCode.PLATFORM_AMBIGUOUS,
+                    "simulated loss of the answer to a write",
+                )
+            )
         return Ok(stored)
 
     async def list(self, kind: str) -> Result[StoredListing, Fault]:
         """Return all objects of a kind."""
-        problem = await self._arrive("list", is_write=False)
+        problem = await self._admit_call("list", is_write=False)
         if problem is not None:
             return Error(problem)
         objects = tuple(
             stored
-            for (a_kind, _), stored in self.state.objects_by_key.items()
-            if a_kind == kind
+            for (stored_kind, _), stored in self.state.objects_by_key.items()
+            if stored_kind == kind
         )
         return Ok(StoredListing(self.state.revision, objects))
 
     async def watch(
         self, kind: str, after: int, timeout_s: float
     ) -> Result[WatchBatch, Fault]:
-        """Wait for changes after a revision; skipped ones are not told."""
-        problem = await self._arrive("watch", is_write=False)
+        """Wait for changes after a revision; skipped events are not reported."""
+        problem = await self._admit_call("watch", is_write=False)
         if problem is not None:
             return Error(problem)
         log = self.state.log
         if len(log) == WATCH_LOG_LENGTH and after < log[0][0] - 1:
             return Error(fault(ResultCode.WATCH_GAP, f"after {after}"))
         with trio.move_on_after(timeout_s):
-            while not self._changes(kind, after) and not self._is_cut():
+            while not self._changes(kind, after) and not self._is_unreachable():
                 await self.state.changed.wait()
-        if self._is_cut():
-            return Error(fault(ResultCode.PLATFORM_UNAVAILABLE, "watch broken"))
+        if self._is_unreachable():
+            return Error(
+                fault(
+                    ResultCode.PLATFORM_UNAVAILABLE,
+                    "platform became unreachable during the watch",
+                )
+            )
         return Ok(WatchBatch(self.state.revision, self._changes(kind, after)))
 
     async def hosts(self) -> Result[HostListing, Fault]:
-        """Return the list of hosts as it was some time ago."""
-        problem = await self._arrive("hosts", is_write=False)
+        """Return the list of hosts as of ``host_list_lag_s`` ago."""
+        problem = await self._admit_call("hosts", is_write=False)
         if problem is not None:
             return Error(problem)
-        seen_until = self.state.clock.now() - self.faults.host_list_lag_s
+        visible_until = self.state.clock.now() - self.faults.host_list_lag_s
         hosts: tuple[Host, ...] = ()
-        for set_at, a_list in self.state.host_lists:
-            if set_at <= seen_until:
-                hosts = a_list
+        for set_at, host_list in self.state.host_lists:
+            if set_at <= visible_until:
+                hosts = host_list
         return Ok(HostListing(hosts))
 
-    def _store(self, stored: StoredObject, present: StoredObject | None):
+    def _store(self, stored: StoredObject, current: StoredObject | None):
         state = self.state
         key = (stored.kind, stored.name)
         state.revision += 1
         state.objects_by_key[key] = stored
-        if present is not None:
-            state.previous_by_key[key] = present
+        if current is not None:
+            state.previous_by_key[key] = current
         if self.faults.skipped_events > 0:
             self.faults.skipped_events -= 1
             return stored
@@ -239,16 +252,16 @@
         }
         return tuple(newest_by_name.values())
 
-    def _is_cut(self) -> bool:
+    def _is_unreachable(self) -> bool:
         return self.faults.down or self._caller in self.faults.cut_off
 
-    async def _arrive(self, call: str, is_write: bool) -> Fault | None:
-        """Count the call, delay it, and refuse it if a switch says so."""
+    async def _admit_call(self, call: str, is_write: bool) -> Fault | None:
+        """Count and delay the call; refuse it if down, cut off or over the rate."""
         await trio.lowlevel.checkpoint()
         self.state.calls_by_caller_and_kind[(self._caller, call)] += 1
         if self.faults.delay_s > 0:
             await trio.sleep(self.faults.delay_s)
-        if self._is_cut():
+        if self._is_unreachable():
             return fault(ResultCode.PLATFORM_UNAVAILABLE, "down", retry_after_s=1.0)
         if self._is_over_rate(is_write):
             return fault(ResultCode.PLATFORM_RATE_LIMITED, call, retry_after_s=1.0)
--- a/standins/fakes_test.py
+++ b/standins/fakes_test.py
@@ -1,4 +1,4 @@
-"""Tests of the in-memory platform: its faults are what other tests rely on."""
+"""Tests of the faults of the in-memory platform, on which other tests rely."""
 
 import trio
 import trio.testing
@@ -11,7 +11,7 @@
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def test_conditional_write_lets_one_of_two_win():
+def test_second_write_with_the_same_expected_version_conflicts():
     async def main():
         platform = FakePlatform(TrioClock())
         assert (await platform.write("profile", "a", b"1", 0)).ok.version == 1
@@ -22,7 +22,7 @@
     run(main)
 
 
-def test_lost_answer_took_effect_and_lost_write_did_not():
+def test_write_with_lost_answer_takes_effect_and_lost_write_does_not():
     async def main():
         platform = FakePlatform(TrioClock())
         platform.faults.lost_answers = 1
@@ -42,23 +42,23 @@
         platform.faults.skipped_events = 1
         async with trio.open_nursery() as nursery:
             nursery.start_soon(platform.write, "profile", "skipped", b"", 0)
-            quiet = await platform.watch("profile", 0, 5)
-        assert quiet.ok.objects == () and trio.current_time() >= 5
+            empty_batch = await platform.watch("profile", 0, 5)
+        assert empty_batch.ok.objects == () and trio.current_time() >= 5
         async with trio.open_nursery() as nursery:
             nursery.start_soon(platform.write, "profile", "told", b"", 0)
-            batch = await platform.watch("profile", quiet.ok.revision, 5)
+            batch = await platform.watch("profile", empty_batch.ok.revision, 5)
         assert [stored.name for stored in batch.ok.objects] == ["told"]
         assert platform.calls(kind="watch") == 2
 
     run(main)
 
 
-def test_outage_breaks_waiting_watches_and_cut_off_callers_alone():
+def test_outage_fails_waiting_watches_and_cut_off_affects_only_that_caller():
     async def main():
         platform = FakePlatform(TrioClock())
-        cut = platform.as_caller("cut")
+        cut_off_caller = platform.as_caller("cut")
         platform.faults.cut_off.add("cut")
-        assert (await cut.list("profile")).is_error()
+        assert (await cut_off_caller.list("profile")).is_error()
         assert (await platform.list("profile")).is_ok()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(trio.testing.wait_all_tasks_blocked)
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,6 +1,6 @@
 """Starts a small fleet as separate processes on loopback.
 
-A tool for the demo, the tests and the measurements, not part of the system.
+Used by the demo, the tests and the measurements; not part of the system.
 """
 
 import signal
@@ -88,8 +88,8 @@
 class SmallFleet:
     """A platform stand-in, targets and entry hosts, as processes.
 
-    Each is ended by its own id.  ``targets_by_id`` and ``entries_by_id`` say
-    where everything listens.
+    Each process is ended by its own id.  ``targets_by_id`` and ``entries_by_id``
+    hold the addresses and ports.
     """
 
     __slots__ = (
@@ -123,7 +123,7 @@
 
     @property
     def entry_ports(self) -> list[int]:
-        """Return the callers' ports of the entry hosts, in order of start."""
+        """Return the caller ports of the entry hosts, in order of start."""
         return [entry.caller_port for entry in self.entries_by_id.values()]
 
     @property
@@ -132,7 +132,7 @@
         return [entry.process.pid for entry in self.entries_by_id.values()]
 
     def start(self) -> None:
-        """Start everything, and wait until each entry host serves."""
+        """Start all processes, and wait until each entry host serves requests."""
         self.start_platform()
         for zone in self.zones:
             self._start_targets(zone)
@@ -145,13 +145,13 @@
             self.wait_serving(entry)
 
     def start_platform(self) -> None:
-        """Start the platform stand-in, on the port it had before if any."""
+        """Start the platform stand-in, on its previous port if it had one."""
         self.platform_port = self.platform_port or free_port()
         self.spawn("platform", "standins.platform", "--port", str(self.platform_port))
         self._wait_port(self.platform_port)
 
     def start_entry(self, host_id: str, zone: str) -> EntryProcess:
-        """Start an entry host with fresh ports and no memory of an earlier one."""
+        """Start an entry host with new ports and no state of an earlier one."""
         caller, operator, peer = free_port(), free_port(), free_port()
         seeds = ", ".join(
             f"127.0.0.1:{entry.peer_port}" for entry in self.entries_by_id.values()
@@ -190,13 +190,13 @@
             self.processes_by_id.pop(name)
             self.entries_by_id.pop(name, None)
             if number == signal.SIGTERM:
-                _check_left_well(name, code)
+                _check_clean_exit(name, code)
 
     def stop(self) -> None:
-        """End every process that still runs, by its id.
+        """End every running process, by its id.
 
-        An entry host that does not leave well fails the run: what broke in its
-        graceful end would otherwise only stand in a log that nobody reads.
+        An entry host that does not exit cleanly fails the run: a fault in its
+        graceful shutdown would otherwise appear only in a log that nobody reads.
         """
         running = {
             name: process
@@ -207,23 +207,25 @@
         for process in running.values():
             process.send_signal(signal.SIGCONT)
             process.terminate()
-        codes = {name: _end_code(process) for name, process in running.items()}
+        codes = {name: _wait_exit_code(process) for name, process in running.items()}
         for entry_id in self.entries_by_id.keys() & codes.keys():
-            _check_left_well(entry_id, codes[entry_id])
+            _check_clean_exit(entry_id, codes[entry_id])
 
     def wait_serving(self, entry: EntryProcess) -> None:
-        """Wait until an entry host has its profiles and a whole model to serve."""
+        """Wait until an entry host has its profiles and a complete model to serve."""
         deadline = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < deadline:
             if _is_ready(entry.caller_port):
                 return
             if entry.process.poll() is not None:
-                raise SystemExit(f"{entry.id} ended with {entry.process.returncode}")
+                raise SystemExit(
+                    f"{entry.id} exited with status {entry.process.returncode}"
+                )
             time.sleep(POLL_S)
-        raise SystemExit(f"{entry.id} did not start to serve")
+        raise SystemExit(f"{entry.id} did not serve requests in time")
 
     def put(self, kind: str, name: str, value: object) -> None:
-        """Write an object to the platform stand-in, which must not have it."""
+        """Create an object in the platform stand-in; fail if it exists."""
         body = WriteBody(msgspec.json.encode(value), 0)
         url = f"http://127.0.0.1:{self.platform_port}/objects/{kind}/{name}"
         answer = httpcore.request("PUT", url, content=msgspec.json.encode(body))
@@ -296,11 +298,11 @@
                 if probe.connect_ex(("127.0.0.1", port)) == 0:
                     return
             time.sleep(POLL_S)
-        raise SystemExit(f"nothing listens on port {port}")
+        raise SystemExit(f"nothing listened on port {port} in time")
 
 
 def _is_ready(port: int) -> bool:
-    """Tell whether a short request is answered whole."""
+    """Return whether a short request is answered completely."""
     body = {"model": "review", "max_tokens": 1, "messages": []}
     body["messages"] = [{"role": "user", "content": "ready?"}]
     url = f"http://127.0.0.1:{port}/v1/chat/completions"
@@ -311,7 +313,7 @@
     return answer.status == 200
 
 
-def _end_code(process: subprocess.Popen) -> int:
+def _wait_exit_code(process: subprocess.Popen) -> int:
     try:
         return process.wait(timeout=STOP_TIMEOUT_S)
     except subprocess.TimeoutExpired:
@@ -319,6 +321,6 @@
         return process.wait()
 
 
-def _check_left_well(name: str, code: int) -> None:
+def _check_clean_exit(name: str, code: int) -> None:
     if code != 0:
-        raise SystemExit(f"{name} did not leave gracefully: exit status {code}")
+        raise SystemExit(f"{name} did not shut down gracefully: exit status {code}")
--- a/standins/launcher.py
+++ b/standins/launcher.py
@@ -1,4 +1,4 @@
-"""The demo and the serving fleet: ``python -m standins.launcher demo|serve``."""
+"""Runs the demo or a serving fleet: ``python -m standins.launcher demo|serve``."""
 
 import signal
 import tempfile
@@ -15,12 +15,12 @@
 
 PROMPT = "Summarise the transfer dispute."
 DEMO_TOKENS = 12
-READY = "interrupt to stop"
+READY_TEXT = "interrupt to stop"
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
-    """What a caller was told about one request."""
+class CallerResponse:
+    """An entry host's response to one request of a caller."""
 
     status: int
     outcome: str
@@ -30,30 +30,34 @@
 
     @property
     def text(self) -> str:
-        """Return the answer's text."""
+        """Return the text of the chat answer."""
         return msgspec.json.decode(self.body)["choices"][0]["message"]["content"]
 
 
-def post(port: int, path: str, body: object, headers: dict[str, str]) -> Told:
-    """Send one request to an entry host's callers' listener."""
+def post(port: int, path: str, body: object, headers: dict[str, str]) -> CallerResponse:
+    """Send one request to the caller listener of an entry host."""
     answer = httpcore.request(
         "POST",
         f"http://127.0.0.1:{port}{path}",
         headers=headers,
         content=msgspec.json.encode(body),
     )
-    told = {name.decode().lower(): value.decode() for name, value in answer.headers}
-    return Told(
+    value_by_header = {
+        name.decode().lower(): value.decode() for name, value in answer.headers
+    }
+    return CallerResponse(
         answer.status,
-        told.get("x-outcome", ""),
-        told.get("x-result-code", ""),
+        value_by_header.get("x-outcome", ""),
+        value_by_header.get("x-result-code", ""),
         answer.content,
-        told.get("x-radishfield-id", ""),
+        value_by_header.get("x-radishfield-id", ""),
     )
 
 
-def chat(port: int, profile: str, prompt: str, tokens: int, key: str = "") -> Told:
-    """Ask for one whole chat answer."""
+def chat(
+    port: int, profile: str, prompt: str, tokens: int, key: str = ""
+) -> CallerResponse:
+    """Request one complete chat answer, without streaming."""
     messages = [{"role": "user", "content": prompt}]
     body = {"model": profile, "messages": messages, "max_tokens": tokens}
     headers = {"content-type": "application/json"}
@@ -63,16 +67,16 @@
 
 
 def expected_text(prompt: str, tokens: int) -> str:
-    """Return the only right answer of the stand-in's model."""
+    """Return the only correct answer of the stand-in model."""
     return "".join(expected_words(MODEL, prompt, MODEL_LAYERS, tokens))
 
 
-def ask(port: int, prompt: str = PROMPT, tokens: int = 16) -> str:
+def check_review(port: int, prompt: str = PROMPT, tokens: int = 16) -> str:
     """Send one request, check its answer and return it."""
-    told = chat(port, "review", prompt, tokens)
-    if told.status != 200 or told.text != expected_text(prompt, tokens):
-        raise SystemExit(f"the answer is not the expected one: {told}")
-    return told.text
+    response = chat(port, "review", prompt, tokens)
+    if response.status != 200 or response.text != expected_text(prompt, tokens):
+        raise SystemExit(f"unexpected answer: {response}")
+    return response.text
 
 
 @click.group()
@@ -88,30 +92,30 @@
         try:
             fleet.start()
             _print_addresses(fleet)
-            _play(fleet)
+            _run_demo(fleet)
         finally:
             fleet.stop()
-    click.echo("demo: every answer was whole and right; all processes ended")
+    click.echo("demo: every answer was complete and correct; all processes ended")
 
 
 @main.command()
 def serve():
     """Start three zones and leave them running until interrupted."""
     for number in (signal.SIGINT, signal.SIGTERM):
-        signal.signal(number, _leave)
+        signal.signal(number, _exit_on_signal)
     with tempfile.TemporaryDirectory() as folder:
         fleet = SmallFleet(Path(folder), THREE_ZONES)
         try:
             fleet.start()
             _print_addresses(fleet)
-            click.echo(READY)
+            click.echo(READY_TEXT)
             signal.pause()
         finally:
             fleet.stop()
 
 
-def _leave(number: int, frame) -> None:
-    """End by an exception: a signal's own way to end leaves the fleet running."""
+def _exit_on_signal(number: int, frame) -> None:
+    """Raise SystemExit, since the default signal action leaves the fleet running."""
     raise SystemExit(0)
 
 
@@ -129,24 +133,26 @@
         )
 
 
-def _play(fleet: SmallFleet) -> None:
+def _run_demo(fleet: SmallFleet) -> None:
     for entry in fleet.entries_by_id.values():
-        _play_review(fleet, entry)
-    _play_repeat(fleet)
-    _play_lookup(fleet)
+        _demo_review(fleet, entry)
+    _demo_retry(fleet)
+    _demo_lookup(fleet)
 
 
-def _play_review(fleet: SmallFleet, entry: EntryProcess) -> None:
+def _demo_review(fleet: SmallFleet, entry: EntryProcess) -> None:
     prompt = f"{PROMPT} ({entry.zone})"
-    told = chat(entry.caller_port, "review", prompt, DEMO_TOKENS)
-    click.echo(f"\n{entry.id}: review {told.outcome} ({told.code}): {told.text}")
-    if told.text != expected_text(prompt, DEMO_TOKENS):
-        raise SystemExit("the answer is not the expected one")
-    _print_stages(fleet, told.system_id)
+    response = chat(entry.caller_port, "review", prompt, DEMO_TOKENS)
+    click.echo(
+        f"\n{entry.id}: review {response.outcome} ({response.code}): {response.text}"
+    )
+    if response.text != expected_text(prompt, DEMO_TOKENS):
+        raise SystemExit("unexpected answer")
+    _print_stages(fleet, response.system_id)
 
 
 def _print_stages(fleet: SmallFleet, system_id: str) -> None:
-    """Print which stages ran the request's tokens, by the engines' own record."""
+    """Print which stages ran the request's tokens, from the engines' records."""
     for target in fleet.targets_by_id.values():
         if target.model != MODEL:
             continue
@@ -158,17 +164,20 @@
             click.echo(f"  {target.id:<26} tokens {span}")
 
 
-def _play_repeat(fleet: SmallFleet) -> None:
+def _demo_retry(fleet: SmallFleet) -> None:
     first, second = list(fleet.entries_by_id.values())[:2]
-    one = chat(first.caller_port, "draft", PROMPT, DEMO_TOKENS, key="ticket-4711")
-    two = chat(second.caller_port, "draft", PROMPT, DEMO_TOKENS, key="ticket-4711")
-    click.echo(f"\ndraft, may not run twice, at {first.id}: {one.outcome} ({one.code})")
-    click.echo(f"its repeat at {second.id}: {two.outcome} ({two.code})")
-    if one.text != two.text:
-        raise SystemExit("the repeat got another answer")
+    original = chat(first.caller_port, "draft", PROMPT, DEMO_TOKENS, key="ticket-4711")
+    retry = chat(second.caller_port, "draft", PROMPT, DEMO_TOKENS, key="ticket-4711")
+    click.echo(
+        f"\ndraft, may not run twice, at {first.id}: "
+        f"{original.outcome} ({original.code})"
+    )
+    click.echo(f"its retry at {second.id}: {retry.outcome} ({retry.code})")
+    if original.text != retry.text:
+        raise SystemExit("the retry got a different answer")
 
 
-def _play_lookup(fleet: SmallFleet) -> None:
+def _demo_lookup(fleet: SmallFleet) -> None:
     port = fleet.entry_ports[-1]
     url = f"http://127.0.0.1:{port}/v1/services/lookup/lookup/AS64500"
     answer = httpcore.request("GET", url)
--- a/standins/launcher_test.py
+++ b/standins/launcher_test.py
@@ -1,4 +1,4 @@
-"""The whole path as separate processes, from the settings file to the answer."""
+"""Tests of a fleet of separate processes, from the settings file to the answer."""
 
 import re
 import signal
@@ -9,7 +9,7 @@
 import pytest
 
 from standins.fleet import THREE_ZONES, SmallFleet
-from standins.launcher import READY, ask, chat
+from standins.launcher import READY_TEXT, chat, check_review
 
 
 @pytest.fixture(scope="module")
@@ -22,28 +22,32 @@
         small.stop()
 
 
-def test_every_zone_serves_a_whole_answer(fleet):
+def test_every_zone_serves_a_complete_answer(fleet):
     for port in fleet.entry_ports:
-        ask(port)
+        check_review(port)
 
 
-def test_unknown_profile_is_refused_with_its_number(fleet):
-    told = chat(fleet.entry_ports[0], "nobody", "hello", 4)
-    assert (told.status, told.code, told.outcome) == (404, "2003", "not-run")
+def test_unknown_profile_is_refused_with_its_result_code(fleet):
+    response = chat(fleet.entry_ports[0], "nobody", "hello", 4)
+    assert (response.status, response.code, response.outcome) == (
+        404,
+        "2003",
+        "not-run",
+    )
 
 
 def test_serving_fleet_ends_with_its_launcher():
-    """An operator who ends `make serve` finds nothing of it still running.
+    """Ending `make serve` leaves no process of the fleet running.
 
-    The launcher gets a SIGTERM.  Ended by the signal itself, it left sixteen
-    processes behind, which held their ports.
+    The launcher receives SIGTERM.  If the signal itself ended the launcher, its
+    sixteen child processes would keep running and hold their ports.
     """
     command = [sys.executable, "-u", "-m", "standins.launcher", "serve"]
     launcher = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
     printed = []
     for line in launcher.stdout:
         printed.append(line)
-        if READY in line:
+        if READY_TEXT in line:
             break
     launcher.send_signal(signal.SIGTERM)
     assert launcher.wait(timeout=60) == 0
--- a/standins/leaving_test.py
+++ b/standins/leaving_test.py
@@ -1,4 +1,4 @@
-"""An entry host that is told to stop while it serves."""
+"""Tests of an entry host that receives a stop signal while it serves a stream."""
 
 import json
 import signal
@@ -14,11 +14,11 @@
 
 
 def test_sigterm_in_the_middle_of_a_stream_lets_it_finish(tmp_path):
-    """The caller reads its whole answer; only later callers are turned away.
+    """The caller receives its complete answer; only later callers are refused.
 
-    SIGTERM comes after the first token.  Readiness fails, new requests are still
-    taken for the notice time and then refused with when to come back, the stream
-    goes on to its end, and the process exits with 0.
+    SIGTERM arrives after the first token.  Readiness fails, new requests are still
+    accepted for the notice time and then refused with a retry time, the stream
+    continues to its end, and the process exits with status 0.
     """
     fleet = SmallFleet(tmp_path, ONE_ZONE, step_ms=STEP_MS)
     try:
@@ -35,7 +35,7 @@
             chunks = iter(stream)
             texts = [next(chunks).choices[0].delta.content]
             entry.process.send_signal(signal.SIGTERM)
-            refused = refusal_of(address)
+            refused = wait_for_refusal(address)
             texts += [chunk.choices[0].delta.content or "" for chunk in chunks]
         assert "".join(texts) == expected_text(PROMPT, TOKENS)
         assert refused["error"]["code"] == 3005
@@ -45,8 +45,8 @@
         fleet.stop()
 
 
-def refusal_of(address):
-    """Ask until the host refuses; every answer before is a good one."""
+def wait_for_refusal(address):
+    """Send requests until one is not answered with 200; return the refusal."""
     content = json.dumps(
         {"model": "review", "prompt": "hello", "max_tokens": 1}
     ).encode()
@@ -54,4 +54,4 @@
         answer = httpcore.request("POST", f"{address}/v1/completions", content=content)
         if answer.status != 200:
             return json.loads(answer.content)
-    raise AssertionError("the host never refused")
+    raise AssertionError("the host refused none of 100 requests")
--- a/standins/model.py
+++ b/standins/model.py
@@ -1,7 +1,7 @@
-"""The stand-in's model: a hash that every layer must pass through in order.
+"""The stand-in model: a chain of hashes, one for each layer, in order.
 
-A layer that is skipped, doubled or run out of order changes the hidden state,
-and so the word.  A test computes the expected answer with `expected_words`.
+A layer that is skipped, doubled or run out of order changes the hidden state
+and thus the word.  A test computes the expected answer with `expected_words`.
 """
 
 from collections.abc import Sequence
@@ -42,9 +42,9 @@
 
 
 def word_of(hidden: str) -> str:
-    """Return the word that the last layer's hidden state stands for.
+    """Return the word that the last layer's hidden state encodes.
 
-    It ends with its blank: an answer is its tokens' texts, put together.
+    It ends with a blank, because an answer is the joined text of its tokens.
     """
     return WORDS[int(hidden, 16) % len(WORDS)] + " "
 
@@ -52,7 +52,7 @@
 def expected_words(
     model: str, prompt: str, model_layers: int, count: int
 ) -> tuple[str, ...]:
-    """Return the only right answer to a prompt, ``count`` words long."""
+    """Return the only correct answer to a prompt, ``count`` words long."""
     words: list[str] = []
     for _ in range(count):
         hidden = first_hidden(model, prompt, words)
--- a/standins/object_store.py
+++ b/standins/object_store.py
@@ -1,7 +1,7 @@
-"""A small stand-in for the users' object store, by its published protocol.
+"""A small stand-in for the users' object store that follows its published protocol.
 
-Objects by kind and name, one revision for all, lists in pages, watches, conditional
-writes, and switches for the ways in which the store fails.
+It has objects by kind and name, one revision for all, paged lists, watches,
+conditional writes, and switches that inject failures.
 """
 
 from collections import defaultdict
@@ -18,16 +18,16 @@
 
 @dataclass(slots=True)
 class StoreSwitches:
-    """How the store fails at the moment.
+    """Active failures of the store.
 
     Attributes
     ----------
     status : int
-        Answer every call with this status, where it is not zero.
+        Status with which every call is answered; 0 for normal answers.
     lost_answers : int
-        Writes that are done and not answered.
+        Number of next writes that take effect but are not answered.
     silent : bool
-        Calls get no answer at all.
+        No call is answered.
     """
 
     status: int = 0
@@ -55,7 +55,7 @@
         default_factory=lambda: defaultdict(dict)
     )
     _history: list[_Change] = field(default_factory=list)
-    _forgotten: int = 0
+    _dropped_until: int = 0
     _changed: trio.Event = field(default_factory=trio.Event)
 
     async def __call__(self, scope, receive, send):
@@ -63,26 +63,26 @@
         await serve_scope(scope, receive, send, self._serve)
 
     def put(self, kind: str, name: str, spec: object) -> None:
-        """Write an object as another writer would."""
+        """Write an object without a check, as another client would."""
         self.revision += 1
         before = self._items[kind].get(name)
         created = before["metadata"]["createRev"] if before else self.revision
         metadata = {"name": name, "revision": self.revision, "createRev": created}
         item = {"metadata": metadata, "spec": spec, "status": None}
         self._items[kind][name] = item
-        self._note(kind, item, deleted=False)
+        self._record_change(kind, item, deleted=False)
 
     def remove(self, kind: str, name: str) -> None:
-        """Remove an object as its lapse would."""
+        """Remove an object, as its expiry would."""
         item = self._items[kind].pop(name, None)
         if item is not None:
             self.revision += 1
-            self._note(kind, item, deleted=True)
+            self._record_change(kind, item, deleted=True)
 
     def forget_history(self) -> None:
-        """Drop all history, so that watches have to list again."""
+        """Drop all history, so that watchers have to list again."""
         self._history.clear()
-        self._forgotten = self.revision
+        self._dropped_until = self.revision
         self._wake()
 
     def names(self, kind: str) -> list[str]:
@@ -90,11 +90,11 @@
         return list(self._items[kind])
 
     def spec(self, kind: str, name: str) -> object:
-        """Return what lies in an object, or None."""
+        """Return the ``spec`` of an object, or None if there is none."""
         item = self._items[kind].get(name)
         return item["spec"] if item else None
 
-    def _note(self, kind: str, item: dict, deleted: bool) -> None:
+    def _record_change(self, kind: str, item: dict, deleted: bool) -> None:
         self._history.append(_Change(self.revision, kind, item, deleted))
         self._wake()
 
@@ -179,9 +179,9 @@
     async def _watch(self, kind: str, query: dict):
         since = int(query["watch"])
         with trio.move_on_after(int(query["waitMs"]) / 1000):
-            while not self._events(kind, since) and since >= self._forgotten:
+            while not self._events(kind, since) and since >= self._dropped_until:
                 await self._changed.wait()
-        if since < self._forgotten:
+        if since < self._dropped_until:
             return 410, {}
         events = [
             {"object": change.item, "deleted": change.deleted}
--- a/standins/operators_test.py
+++ b/standins/operators_test.py
@@ -1,4 +1,4 @@
-"""The command line against a running entry host, from publishing to explaining."""
+"""Tests of the operator command line against a running entry host."""
 
 import json
 
@@ -8,7 +8,7 @@
 
 from radishfield.scripts import main
 from standins.fleet import OPERATOR_TOKEN, SmallFleet
-from standins.launcher import ask, chat, expected_text
+from standins.launcher import chat, check_review, expected_text
 
 
 @pytest.fixture(scope="module")
@@ -39,14 +39,14 @@
     return run
 
 
-def test_a_published_profile_serves_and_its_request_is_explained(fleet, operate):
+def test_published_profile_serves_requests_that_explain_shows(fleet, operate):
     publish = ("profiles", "publish", "notice", "--model", "small")
     assert operate(*publish, "--deadline-s", "20")["version"] == 1
     assert operate(*publish, code=3)["code"] == 7006
     (port,) = fleet.entry_ports
-    told = chat(port, "notice", "Exit B is closed.", 5)
-    assert told.text == expected_text("Exit B is closed.", 5)
-    events = operate("explain", told.system_id)["record"]["events"]
+    response = chat(port, "notice", "Exit B is closed.", 5)
+    assert response.text == expected_text("Exit B is closed.", 5)
+    events = operate("explain", response.system_id)["record"]["events"]
     kinds = [event["kind"] for event in events]
     assert kinds == ["received", "queued", "dispatched", "ended"]
     assert len(events[2]["target_ids"]) == 4
@@ -56,21 +56,21 @@
     assert chat(port, "notice", "hello", 5).code == "2008"
 
 
-def test_a_drained_target_is_listed_as_leaving_and_comes_back(fleet, operate):
-    ask(fleet.entry_ports[0])
+def test_drained_target_is_listed_as_leaving_and_serves_after_undrain(fleet, operate):
+    check_review(fleet.entry_ports[0])
     assert operate("drain", "target", "a-engine-0")["active"]
     listed = operate("targets", "list")["targets"]
     state = {target["id"]: target["state"] for target in listed}
     assert state["a-engine-0"] == "leaving" and state["a-engine-4"] == "live"
     assert chat(fleet.entry_ports[0], "review", "hello", 2).outcome == "not-run"
     assert not operate("undrain", "target", "a-engine-0")["active"]
-    ask(fleet.entry_ports[0])
+    check_review(fleet.entry_ports[0])
     assert operate("status")["profiles_known"]
 
 
 def test_metrics_count_requests_and_refusals(fleet, operate):
     (entry,) = fleet.entries_by_id.values()
-    ask(entry.caller_port)
+    check_review(entry.caller_port)
     chat(entry.caller_port, "nobody", "hello", 2)
     scraped = httpcore.request(
         "GET",
--- a/standins/peer_network.py
+++ b/standins/peer_network.py
@@ -1,7 +1,7 @@
-"""Datagrams and connections between entry hosts, in memory, with faults.
+"""In-memory datagrams and connections between entry hosts, with faults.
 
-One `MemoryNetwork` joins the transports of many hosts in one process.  It cuts
-links, loses datagrams and delays them, in whatever time trio runs.
+One `MemoryNetwork` connects the transports of many hosts in one process.  It
+disconnects links and drops and delays datagrams, in trio's real or virtual time.
 """
 
 import random
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class NetworkFaults:
-    """Switches: lost share of datagrams, delay, cut pairs, silent addresses."""
+    """Active faults: datagram loss, delays, disconnected pairs, silent addresses."""
 
     lost_share: float = 0.0
     delay_s: float = 0.0005
@@ -26,17 +26,17 @@
 
 
 class MemoryNetwork:
-    """Joins the transports of many hosts."""
+    """Connects the transports of many hosts."""
 
-    __slots__ = ("_chance", "faults", "transport_by_address")
+    __slots__ = ("_rng", "faults", "transport_by_address")
 
     def __init__(self, seed: int = 1):
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
         self.faults = NetworkFaults()
         self.transport_by_address: dict[str, MemoryTransport] = {}
 
     def transport(self, address: str) -> "MemoryTransport":
-        """Return a new transport for an address; a former one is replaced."""
+        """Return a new transport, which replaces an earlier one when it opens."""
         return MemoryTransport(self, address)
 
     def find(self, sender: str, address: str) -> "MemoryTransport | None":
@@ -47,14 +47,14 @@
         return self.transport_by_address.get(address)
 
     def deliver(self, data: bytes, sender: str, address: str) -> None:
-        """Put a datagram on its way; it may be lost."""
+        """Queue a datagram for delivery, unless it is lost."""
         receiver = self.find(sender, address)
-        if receiver is None or self._chance.random() < self.faults.lost_share:
+        if receiver is None or self._rng.random() < self.faults.lost_share:
             return
         lag_s = self.faults.delay_s + self.faults.lag_s_by_address.get(address, 0.0)
         due = trio.current_time() + lag_s
         try:
-            receiver.inbox_in.send_nowait((due, data, sender))
+            receiver.inbox_sender.send_nowait((due, data, sender))
         except (trio.WouldBlock, trio.BrokenResourceError):
             return
 
@@ -63,27 +63,29 @@
     """A `PeerTransport` on a `MemoryNetwork`."""
 
     __slots__ = (
-        "_inbox_out",
+        "_inbox_receiver",
         "_network",
-        "_streams_out",
+        "_stream_receiver",
         "address",
-        "inbox_in",
-        "streams_in",
+        "inbox_sender",
+        "stream_sender",
     )
 
     def __init__(self, network: MemoryNetwork, address: str):
         self._network = network
         self.address = address
 
-        self.inbox_in, self._inbox_out = trio.open_memory_channel(QUEUE_LENGTH)
-        self.streams_in, self._streams_out = trio.open_memory_channel(QUEUE_LENGTH)
+        self.inbox_sender, self._inbox_receiver = trio.open_memory_channel(QUEUE_LENGTH)
+        self.stream_sender, self._stream_receiver = trio.open_memory_channel(
+            QUEUE_LENGTH
+        )
 
     async def open(self) -> None:
-        """Become reachable."""
+        """Make this address reachable."""
         self._network.transport_by_address[self.address] = self
 
     def close(self) -> None:
-        """Be reachable no more."""
+        """Make this address unreachable, unless a newer transport has replaced it."""
         if self._network.transport_by_address.get(self.address) is self:
             del self._network.transport_by_address[self.address]
 
@@ -94,7 +96,7 @@
 
     async def receive(self) -> tuple[bytes, str]:
         """Return the next datagram once its delay is over."""
-        due, data, sender = await self._inbox_out.receive()
+        due, data, sender = await self._inbox_receiver.receive()
         await trio.sleep(max(0.0, due - trio.current_time()))
         return data, sender
 
@@ -105,22 +107,22 @@
         if receiver is None:
             raise ConnectionRefusedError(address)
         near, far = trio.testing.memory_stream_pair()
-        receiver.streams_in.send_nowait(
-            CuttableStream(far, self._network, address, self.address)
+        receiver.stream_sender.send_nowait(
+            PartitionableStream(far, self._network, address, self.address)
         )
-        return CuttableStream(near, self._network, self.address, address)
+        return PartitionableStream(near, self._network, self.address, address)
 
     async def serve(
         self, handler: Callable[[trio.abc.Stream], Awaitable[None]]
     ) -> None:
         """Run the handler in a task for each connection."""
         async with trio.open_nursery() as nursery:
-            async for stream in self._streams_out:
+            async for stream in self._stream_receiver:
                 nursery.start_soon(handler, stream)
 
 
-class CuttableStream(trio.abc.Stream):
-    """A connection that falls silent, without an error, while its link is cut."""
+class PartitionableStream(trio.abc.Stream):
+    """A connection that drops sent data, without an error, while disconnected."""
 
     __slots__ = ("_far", "_near", "_network", "_stream")
 
@@ -133,7 +135,7 @@
         self._far = far
 
     async def send_all(self, data: bytes) -> None:
-        """Send, or drop what the cut link would."""
+        """Send the data, or drop it if the link is disconnected."""
         if self._network.find(self._near, self._far) is None:
             await trio.lowlevel.checkpoint()
             return
@@ -144,7 +146,7 @@
         await self._stream.wait_send_all_might_not_block()
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
-        """Receive what came through."""
+        """Receive data that was not dropped."""
         return await self._stream.receive_some(max_bytes)
 
     async def aclose(self) -> None:
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -2,7 +2,7 @@
 
 ``python -m standins.platform --port 7000`` serves it on loopback.  Objects,
 faults and rate limits are those of `standins.fakes.FakePlatform`; the control
-routes below ``/control`` turn its switches and give out its counters.
+routes below ``/control`` set its switches and return its counters.
 """
 
 import logging
@@ -21,7 +21,7 @@
 from standins.fakes import FakePlatform
 
 MAX_BODY_BYTES = 2 << 20
-"""A megabyte of value as base64 in JSON, with room to spare."""
+"""Allows for a value of one megabyte as base64 in JSON, with a margin."""
 
 STATUS_BY_CODE = {
     ResultCode.OBJECT_NOT_FOUND: 404,
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FaultChange:
-    """Switches to turn; a field left out stays as it is."""
+    """Switches to set; an omitted field keeps its value."""
 
     down: bool | None = None
     delay_s: float | None = None
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallCount:
-    """How many calls of a kind came from a caller since the start."""
+    """Number of calls of a kind from a caller since the start."""
 
     caller: str
     kind: str
@@ -73,7 +73,7 @@
         self.platform = platform
 
     async def __call__(self, scope, receive, send):
-        """Serve one HTTP request; other scopes are the server's own."""
+        """Serve one HTTP request or the server's lifespan scope."""
         if scope["type"] == "lifespan":
             await _serve_lifespan(receive, send)
             return
@@ -121,7 +121,7 @@
             case ("GET", "calls"):
                 return 200, msgspec.json.encode(self._call_counts())
             case ("PUT", "faults"):
-                self._turn(msgspec.json.decode(body, type=FaultChange))
+                self._set_faults(msgspec.json.decode(body, type=FaultChange))
                 return 200, b"{}"
             case ("PUT", "hosts"):
                 hosts = msgspec.json.decode(body, type=list[Host])
@@ -136,7 +136,7 @@
             for (caller, kind), calls in sorted(counts.items())
         ]
 
-    def _turn(self, change: FaultChange) -> None:
+    def _set_faults(self, change: FaultChange) -> None:
         for name in FaultChange.__slots__:
             value = getattr(change, name)
             if value is not None:
@@ -183,8 +183,8 @@
 
 async def _send_fault(send, problem: Fault) -> None:
     if problem.code is ResultCode.PLATFORM_AMBIGUOUS:
-        # The caller must not learn whether the write took effect: it gets the
-        # head of an answer and then a closed connection.
+        # The caller must not learn whether the write took effect: it receives
+        # only the headers of an answer, then the connection is closed.
         await _send_head(send, 200, 100)
         return
     await _send_json(send, STATUS_BY_CODE[problem.code], msgspec.json.encode(problem))
--- a/standins/ports.py
+++ b/standins/ports.py
@@ -1,42 +1,42 @@
-"""Free ports on loopback that stay free until they are bound.
+"""Finds free ports on loopback that stay free until they are bound.
 
-Taken from below the range that the kernel hands out for outgoing connections:
-a port from within it may be in use again by the time a process binds it.
+Ports come from below the kernel's ephemeral range: a port from that range may be
+in use for an outgoing connection by the time a process binds it.
 """
 
 import random
 import socket
 
-FIRST, LAST = 20_000, 29_999
+FIRST_PORT, LAST_PORT = 20_000, 29_999
 
 
-_given_out: set[int] = set()
+_assigned_ports: set[int] = set()
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that nobody has bound and that this process got never before.
+    """Return unbound ports that were not returned to this process before.
 
-    They are free for TCP and for UDP.
+    They are free for both TCP and UDP.
     """
     found: list[int] = []
     while len(found) < count:
-        port = random.SystemRandom().randint(FIRST, LAST)
-        if port not in _given_out and _is_free(port):
-            _given_out.add(port)
+        port = random.SystemRandom().randint(FIRST_PORT, LAST_PORT)
+        if port not in _assigned_ports and _is_free(port):
+            _assigned_ports.add(port)
             found.append(port)
     return found
 
 
 def free_port() -> int:
-    """Return one such port."""
+    """Return one port as `free_ports` does."""
     return free_ports(1)[0]
 
 
 def _is_free(port: int) -> bool:
     for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
-        with socket.socket(type=kind) as tried:
+        with socket.socket(type=kind) as probe:
             try:
-                tried.bind(("127.0.0.1", port))
+                probe.bind(("127.0.0.1", port))
             except OSError:
                 return False
     return True
--- a/standins/routed_config.py
+++ b/standins/routed_config.py
@@ -1,4 +1,4 @@
-"""A configuration and entries of targets as the users' store holds them."""
+"""Builds a configuration and target entries as the users' store holds them."""
 
 HOST_NAME = "h.example"
 KEY = "key-of-w1"
@@ -7,7 +7,7 @@
 def request_headers(
     request_id: str, key: str | None = KEY, deadline_s: float | None = None
 ) -> dict[str, str]:
-    """Return the headers with which callers of the users' platform ask."""
+    """Return the request headers that callers of the users' platform send."""
     headers = {"host": HOST_NAME, "x-request-id": request_id}
     if key is not None:
         headers["authorization"] = f"Token {key}"
@@ -56,7 +56,7 @@
 
 
 def config(version: int = 1, **changes) -> dict:
-    """Return a configuration with one stream and three plain routes."""
+    """Return a configuration with one streaming and three plain routes."""
     values = {
         "version": version,
         "routes": [
@@ -76,7 +76,7 @@
 
 
 def target_entry(service: str, address: str, **changes) -> dict:
-    """Return the entry of a target that is ready."""
+    """Return the entry of a ready target."""
     values = {
         "service": service,
         "addr": address,
@@ -91,7 +91,7 @@
 
 
 def layered_entry(address: str, first: int, end: int) -> dict:
-    """Return the entry of a layered target; without layers where ``end`` is 0."""
+    """Return the entry of a layered target, without layers if ``end`` is 0."""
     held = {"from": first, "target": end, "version": 1} if end else None
     kind = "half" if end - first < 80 else "whole"
     return target_entry("pool", address, kind=kind, layers=held)
--- a/standins/routed_targets.py
+++ b/standins/routed_targets.py
@@ -1,7 +1,7 @@
 """Small stand-ins for the users' targets: a plain one and one of a layered model.
 
-Both check what they are sent as the users' do: the target that is expected, and for
-a layered model the parts of the path.  Their switches turn on one failure each.
+Like the users' targets, both check the expected target of a request, and for a
+layered model the stages of the path.  Each of their switches injects one failure.
 """
 
 from collections import Counter, defaultdict
@@ -26,7 +26,7 @@
 EVENT_STREAM = b"text/event-stream"
 STALL_S = 2.0
 CRASHING_BODY = b"crashes what runs it"
-"""Body of requests under which targets end, once they have begun to run them."""
+"""Body of requests that crash a target after it has started to run them."""
 CRASH_AFTER_S = 0.05
 
 
@@ -37,8 +37,8 @@
     Attributes
     ----------
     failures : list of str
-        What goes wrong with the next requests, one each: ``error``, ``refuse``,
-        ``silent``, ``wrong-id``, ``cut``.
+        Failures of the next requests, one each: ``error``, ``refuse``,
+        ``silent``, ``wrong-id``, ``cut`` (a truncated answer).
     crash : callable
         Ends the target and its connections, under a request with this id.
     """
@@ -88,12 +88,12 @@
 
 @dataclass(slots=True)
 class LayeredFleet:
-    """The targets of a layered model, which pass tokens to each other.
+    """The targets of a layered model, which forward tokens to each other.
 
     Attributes
     ----------
     addresses_by_request : dict
-        Targets on the paths of each stream that a target has begun.
+        Targets on all paths of each stream that a target has started.
     """
 
     layers: int = 80
@@ -107,24 +107,24 @@
         target.fleet = self
         self.target_by_address[target.address] = target
 
-    def note_path(self, request_id: str, parts: list[tuple[str, int, int]]) -> None:
-        """Note the targets that a stream passes from now on."""
-        self.addresses_by_request[request_id] |= {address for address, _, _ in parts}
+    def record_path(self, request_id: str, stages: list[tuple[str, int, int]]) -> None:
+        """Record the targets on a stream's new path."""
+        self.addresses_by_request[request_id] |= {address for address, _, _ in stages}
 
-    def faulty_part(
-        self, parts: list[tuple[str, int, int]], running: bool = False
+    def find_faulty_stage(
+        self, stages: list[tuple[str, int, int]], running: bool = False
     ) -> tuple[int, str] | None:
-        """Return the status and address of the first part that cannot run.
+        """Return the status and address of the first stage that cannot run.
 
-        Layers that were given up wait for the streams that pass through them.
+        Running streams may still use layers that their target has released.
         """
-        for address, first, end in parts:
+        for address, first, end in stages:
             target = self.target_by_address.get(address)
             if target is None or target.dead:
                 return 503, address
             spans = [(target.first, target.end)]
             if running:
-                spans += target.past_spans
+                spans += target.released_spans
             if not any(held <= first < end <= last for held, last in spans):
                 return 421, address
         return None
@@ -137,17 +137,18 @@
     Attributes
     ----------
     dead : bool
-        It passes nothing on and takes nothing; as a first part it is silent.
+        It forwards and accepts nothing; as a first stage it is silent.
     cut_after : int
-        Break off the next stream, within an event, after so many events.
+        Number of events after which the next stream is aborted, within an event;
+        0 for no abort.
     places : int
-        Streams that it takes as a first part at a time; 0 for any number.
+        Maximum number of concurrent streams as a first stage; 0 for any number.
     crash : callable
         Ends the target and its connections, under a request with this id.
-    past_spans : list of tuple
-        Layers that it was ordered to give up.
+    released_spans : list of tuple
+        Layers that it was ordered to release.
     ended_runs : int
-        Runs that are over, also those whose caller has left.
+        Number of ended runs, including those whose caller has disconnected.
     """
 
     id: str
@@ -162,14 +163,14 @@
     crash: Callable[[str], None] = lambda request_id: None
     crash_after_s: float = CRASH_AFTER_S
     ended_runs: int = 0
-    past_spans: list[tuple[int, int]] = field(default_factory=list)
+    released_spans: list[tuple[int, int]] = field(default_factory=list)
     orders: int = 0
     born: int = 1
     order_log: list[dict] = field(default_factory=list)
     runs: Counter[str] = field(default_factory=Counter)
     paths: list[str] = field(default_factory=list)
     fleet: LayeredFleet | None = None
-    _path_by_request: dict[str, list[tuple[str, int, int]]] = field(
+    _stages_by_request: dict[str, list[tuple[str, int, int]]] = field(
         default_factory=dict
     )
 
@@ -196,8 +197,8 @@
     def _report(self) -> dict:
         stalled = [
             {"id": request_id, "addr": fault[1]}
-            for request_id, parts in self._path_by_request.items()
-            if (fault := self.fleet.faulty_part(parts, running=True)) is not None
+            for request_id, stages in self._stages_by_request.items()
+            if (fault := self.fleet.find_faulty_stage(stages, running=True)) is not None
         ]
         held = {"from": self.first, "target": self.end, "version": 1}
         return {
@@ -205,7 +206,7 @@
             "busy": False,
             "seq": self.orders,
             "waiting": 0,
-            "running": len(self._path_by_request),
+            "running": len(self._stages_by_request),
             "kvUsed": 0,
             "kvTotal": 1000,
             "pace": 1.0,
@@ -221,20 +222,20 @@
             return 409, {}
         if (order["from"], order["target"]) == (self.first, self.end):
             return 200, {}
-        self.past_spans.append((self.first, self.end))
+        self.released_spans.append((self.first, self.end))
         self.first, self.end = order["from"], order["target"]
         self.orders += 1
         return 202, {}
 
     def _repath(self, order: dict) -> tuple[int, dict]:
-        if order["id"] not in self._path_by_request:
+        if order["id"] not in self._stages_by_request:
             return 404, {}
-        parts = _parts(order["path"])
-        faulty = self.fleet.faulty_part(parts)
-        if faulty is not None:
-            return 409, {"addr": faulty[1]}
-        self._path_by_request[order["id"]] = parts
-        self.fleet.note_path(order["id"], parts)
+        stages = _parse_path(order["path"])
+        faulty_stage = self.fleet.find_faulty_stage(stages)
+        if faulty_stage is not None:
+            return 409, {"addr": faulty_stage[1]}
+        self._stages_by_request[order["id"]] = stages
+        self.fleet.record_path(order["id"], stages)
         self.paths.append(order["path"])
         return 202, {}
 
@@ -244,18 +245,21 @@
             return
         request_id = headers.get(b"x-request-id", b"").decode()
         path = headers.get(b"x-hop-count", b"").decode()
-        parts = _parts(path)
-        faulty = self.fleet.faulty_part(parts)
-        if self.places and len(self._path_by_request) >= self.places:
-            faulty = (503, self.address)
-        if faulty is not None:
-            extra = [(b"x-not-executed", b"1"), (b"at-server", faulty[1].encode())]
-            await send_json(send, faulty[0], {}, extra)
+        stages = _parse_path(path)
+        faulty_stage = self.fleet.find_faulty_stage(stages)
+        if self.places and len(self._stages_by_request) >= self.places:
+            faulty_stage = (503, self.address)
+        if faulty_stage is not None:
+            extra = [
+                (b"x-not-executed", b"1"),
+                (b"at-server", faulty_stage[1].encode()),
+            ]
+            await send_json(send, faulty_stage[0], {}, extra)
             return
         self.runs[request_id] += 1
         self.paths.append(path)
-        self._path_by_request[request_id] = parts
-        self.fleet.note_path(request_id, parts)
+        self._stages_by_request[request_id] = stages
+        self.fleet.record_path(request_id, stages)
         try:
             if crashes:
                 await trio.sleep(self.crash_after_s)
@@ -263,7 +267,7 @@
             await self._send_events(request_id, headers, send)
         finally:
             self.ended_runs += 1
-            self._path_by_request.pop(request_id, None)
+            self._stages_by_request.pop(request_id, None)
 
     async def _send_events(self, request_id: str, headers, send) -> None:
         head = [
@@ -276,8 +280,8 @@
         for number in range(done + 1, self.events + 1):
             await trio.sleep(self.gap_s)
             stalled_s = 0.0
-            while self.dead or self.fleet.faulty_part(
-                self._path_by_request[request_id], running=True
+            while self.dead or self.fleet.find_faulty_stage(
+                self._stages_by_request[request_id], running=True
             ):
                 await trio.sleep(0.02)
                 stalled_s += 0.02
@@ -292,10 +296,10 @@
         await send_chunk(send, b"", more=False)
 
 
-def _parts(path: str) -> list[tuple[str, int, int]]:
-    parts = []
+def _parse_path(path: str) -> list[tuple[str, int, int]]:
+    stages = []
     for item in path.split(",") if path else ():
         address, _, span = item.rpartition("=")
         first, _, end = span.partition("-")
-        parts.append((address, int(first), int(end)))
-    return parts
+        stages.append((address, int(first), int(end)))
+    return stages
--- a/standins/router_process.py
+++ b/standins/router_process.py
@@ -1,4 +1,4 @@
-"""A router as a process of its own, for the soak and the load tool."""
+"""Runs a router as a separate process, for the soak test and the load tool."""
 
 import signal
 import subprocess
@@ -14,7 +14,7 @@
     Parameters
     ----------
     promises : str
-        Further lines of the settings' section of this name.
+        Additional lines of the ``promises`` section of the settings.
     source : str
         Address from which it opens connections; blank for any.
     """
@@ -47,7 +47,7 @@
         self._process: subprocess.Popen | None = None
 
     def start(self) -> None:
-        """Start the process, unless it runs."""
+        """Start the process, unless it is running."""
         if self.runs:
             return
         command = [sys.executable, "-m", *self._module]
@@ -58,21 +58,21 @@
 
     @property
     def pid(self) -> int:
-        """Return the id of the process that was started last; 0 before."""
+        """Return the id of the last started process, or 0 if there is none."""
         return self._process.pid if self._process is not None else 0
 
     @property
     def runs(self) -> bool:
-        """Return whether the process runs."""
+        """Return whether the process is running."""
         return self._process is not None and self._process.poll() is None
 
     def signal(self, number: int) -> None:
-        """Signal the process, if it runs."""
+        """Send the process a signal, if it is running."""
         if self.runs:
             self._process.send_signal(number)
 
     def end(self) -> None:
-        """End the process and wait for it."""
+        """Kill the process and wait for its exit."""
         if self._process is not None:
             self._process.send_signal(signal.SIGCONT)
             self._process.kill()
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,7 +1,7 @@
-"""A stand-in for a plain service: lookups, and calls that may not be repeated.
+"""A stand-in for a plain service: idempotent lookups and non-idempotent calls.
 
 ``GET /lookup/NAME`` may be repeated at will.  ``POST /notices`` publishes a
-notice: each run counts, and the record tells a test how often it really ran.
+notice: each run counts, and the record holds how often it ran.
 """
 
 from dataclasses import dataclass, field
@@ -28,16 +28,16 @@
 
 @dataclass(slots=True, frozen=True)
 class ServiceFaults:
-    """Faults in force.
+    """Active faults.
 
     Attributes
     ----------
     refuse : bool
-        Calls are refused before they start, and said so.
+        Calls are refused before they start, and the answer says so.
     fail : bool
         Calls run and then answer 500.
     truncate : bool
-        Calls run and their answer is cut in the middle.
+        Calls run and their answer is truncated.
     silent : bool
         Calls run and never answer.
     """
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallRun:
-    """One call that really ran."""
+    """One call that ran."""
 
     method: str
     path: str
@@ -61,14 +61,14 @@
 
 @dataclass(slots=True)
 class ServiceRecord:
-    """Every call that really ran, in order."""
+    """Every call that ran, in order."""
 
     calls: list[CallRun] = field(default_factory=list)
 
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """What a call answers; ``run`` counts all calls so far."""
+    """The body of a call's answer; ``run`` counts all calls so far."""
 
     service: str
     path: str
@@ -88,7 +88,7 @@
         self.in_flight = 0
 
     async def drain(self) -> None:
-        """Refuse new calls, and wait until those in flight have ended."""
+        """Refuse new calls, and wait until the calls in flight have ended."""
         self.is_leaving = True
         with trio.move_on_after(DRAIN_S):
             while self.in_flight:
@@ -111,7 +111,7 @@
             case ("POST", "/notices"):
                 await self._run(scope, send)
             case _:
-                await send_json(send, 404, Refusal(0, "no such path"))
+                await send_json(send, 404, Refusal(0, "unknown path"))
 
     async def _run(self, scope, send) -> None:
         if self.faults.refuse or self.is_leaving:
--- a/standins/service_test.py
+++ b/standins/service_test.py
@@ -1,4 +1,4 @@
-"""Tests of calls to a plain service that may not be repeated."""
+"""Tests of non-idempotent calls to a plain service."""
 
 import pytest
 import trio
@@ -19,7 +19,7 @@
 
 
 def call_with(faults):
-    """Make one call; return its result and how often it really ran."""
+    """Make one call; return its result and how often the service ran it."""
 
     async def main():
         app = ServiceApp("s")
@@ -41,7 +41,7 @@
     return trio.run(main)
 
 
-def test_a_call_runs_once_and_an_error_of_the_service_is_its_answer():
+def test_call_runs_once_and_the_service_error_is_its_answer():
     answer, runs = call_with(ServiceFaults())
     assert (answer.ok.status, runs) == (200, 1)
     answer, runs = call_with(ServiceFaults(fail=True))
@@ -57,14 +57,14 @@
         (ServiceFaults(slow_s=2.0), ResultCode.DEADLINE_PASSED, Outcome.UNKNOWN, 1),
     ],
 )
-def test_a_failed_call_says_not_run_only_where_the_record_agrees(
+def test_failed_call_is_reported_as_not_run_only_if_it_did_not_run(
     faults, code, outcome, runs
 ):
-    """What the caller is told about a notice agrees with the service's record.
+    """The outcome reported to the caller agrees with the service's record.
 
-    The service refuses before it starts, or runs the call and loses the answer
-    in one way or another; it is called at most once.
+    The service refuses before it starts, or runs the call and its answer is
+    truncated, missing or late; it runs the call at most once.
     """
-    result, really_ran = call_with(faults)
+    result, run_count = call_with(faults)
     assert (result.error.code, result.error.outcome) == (code, outcome)
-    assert really_ran == runs
+    assert run_count == runs
