--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the decisions and of what each mechanism costs."""
+"""Benchmarks of the scheduling decisions and of the cost of each mechanism."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Run the benches: ``python -m bench [NAME ...]``."""
+"""Run the benchmark scenarios: ``python -m bench [NAME ...]``."""
 
 import sys
 
--- a/bench/_baselines.py
+++ b/bench/_baselines.py
@@ -1,7 +1,7 @@
-"""Simple policies behind the scheduler's face, to compare with.
+"""Simple policies with the scheduler's interface, as baselines for comparison.
 
-Each starts work as it arrives, on a chain of targets of one zone or another
-that it picks stage by stage, and starts it again elsewhere after a failure.
+Each starts work as it arrives, on a chain of targets in any zones that it picks
+stage by stage, and restarts it on other targets after a failure.
 """
 
 import random
@@ -31,30 +31,30 @@
 
 
 class Baseline:
-    """What the baselines share; `pick` is theirs."""
+    """Base class of the baselines; subclasses implement `pick`."""
 
     __slots__ = (
-        "chance",
+        "rng",
         "in_flight_by_id",
         "turn_by_layer",
-        "_heads_by_layer",
+        "_targets_by_first_layer",
         "_waiting",
         "_running_by_request",
         "_dead",
     )
 
     def __init__(self, seed: str):
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.in_flight_by_id: dict[str, int] = defaultdict(int)
         self.turn_by_layer: dict[int, int] = defaultdict(int)
-        self._heads_by_layer: dict[int, list[Target]] = {}
+        self._targets_by_first_layer: dict[int, list[Target]] = {}
         self._waiting: deque[Work] = deque()
         self._running_by_request: dict[str, Dispatch] = {}
         self._dead: set[str] = set()
 
-    def pick(self, heads: Sequence[Target]) -> Target:
-        """Return one of the targets that hold the next layer."""
-        raise LookupError("a baseline picks")
+    def pick(self, candidates: Sequence[Target]) -> Target:
+        """Return one of the targets whose layers start with the next layer."""
+        raise LookupError("a baseline must override pick()")
 
     def set_fleet(
         self,
@@ -64,21 +64,21 @@
         entry_hosts: int,
         now: float,
     ) -> None:
-        """Replace the targets."""
-        self._heads_by_layer = defaultdict(list)
+        """Replace the known targets."""
+        self._targets_by_first_layer = defaultdict(list)
         for target in targets:
-            self._heads_by_layer[target.layers.first].append(target)
+            self._targets_by_first_layer[target.layers.first].append(target)
 
     def observe_load(self, report: LoadReport, now: float) -> None:
-        """Take no notice."""
+        """Do nothing: baselines ignore load reports."""
 
     def offer(self, work: Work, now: float) -> Queued | Refused:
-        """Admit all."""
+        """Admit every request."""
         self._waiting.append(work)
         return Queued(work.request_id)
 
     def take(self, now: float) -> list[Dispatch | Expired]:
-        """Start all."""
+        """Start every waiting request."""
         taken: list[Dispatch | Expired] = []
         while self._waiting:
             work = self._waiting.popleft()
@@ -86,45 +86,47 @@
         return taken
 
     def next_wakeup(self, now: float) -> float | None:
-        """Return nothing: all is started at once."""
+        """Return None, because every request starts immediately."""
         return None
 
     def progressed(self, request_id: str, position: int, now: float) -> None:
-        """Take no notice."""
+        """Do nothing: baselines ignore progress."""
 
     def ended(self, request_id: str, finished: bool, now: float) -> None:
-        """Count the request out."""
+        """Remove the request from the in-flight counts."""
         dispatch = self._running_by_request.pop(request_id, None)
         if dispatch is not None:
-            self._count(dispatch, -1)
+            self._add_in_flight(dispatch, -1)
 
     def failed(self, failure: Failure, now: float) -> Retry | GiveUp:
-        """Try again elsewhere, at once."""
+        """Retry on other targets immediately, with at most four attempts in total."""
         self._dead.add(failure.target_id)
-        old = self._running_by_request[failure.request_id]
-        self._count(old, -1)
-        if old.attempt >= 4:
+        previous = self._running_by_request[failure.request_id]
+        self._add_in_flight(previous, -1)
+        if previous.attempt >= 4:
             self._running_by_request.pop(failure.request_id)
             return GiveUp(fault(ResultCode.RETRIES_EXHAUSTED))
-        route = self._route(old.work)
-        return Retry(self._start(Dispatch(old.work, old.attempt + 1, route)))
+        route = self._route(previous.work)
+        return Retry(self._start(Dispatch(previous.work, previous.attempt + 1, route)))
 
     def _start(self, dispatch: Dispatch) -> Dispatch:
         self._running_by_request[dispatch.work.request_id] = dispatch
-        self._count(dispatch, 1)
+        self._add_in_flight(dispatch, 1)
         return dispatch
 
-    def _count(self, dispatch: Dispatch, change: int) -> None:
+    def _add_in_flight(self, dispatch: Dispatch, change: int) -> None:
         for stage in dispatch.route.stages:
             self.in_flight_by_id[stage.target_id] += change
 
     def _route(self, work: Work) -> Route:
         stages = []
         layer = 0
-        model_layers = self._heads_by_layer[0][0].model_layers
+        model_layers = self._targets_by_first_layer[0][0].model_layers
         while layer < model_layers:
-            heads = [t for t in self._heads_by_layer[layer] if t.id not in self._dead]
-            target = self.pick(heads)
+            candidates = [
+                t for t in self._targets_by_first_layer[layer] if t.id not in self._dead
+            ]
+            target = self.pick(candidates)
             end = target.layers.end
             stages.append(Stage(target.id, target.address, LayerRange(layer, end)))
             layer = end
@@ -132,42 +134,42 @@
 
 
 class RoundRobin(Baseline):
-    """Each target in turn."""
+    """Picks each target in turn."""
 
     __slots__ = ()
 
-    def pick(self, heads: Sequence[Target]) -> Target:
+    def pick(self, candidates: Sequence[Target]) -> Target:
         """Return the next in turn."""
-        layer = heads[0].layers.first
+        layer = candidates[0].layers.first
         self.turn_by_layer[layer] += 1
-        return heads[self.turn_by_layer[layer] % len(heads)]
+        return candidates[self.turn_by_layer[layer] % len(candidates)]
 
 
 class LeastInFlight(Baseline):
-    """The target with the least of this host's own work."""
+    """Picks the target with the fewest requests in flight from this host."""
 
     __slots__ = ()
 
-    def pick(self, heads: Sequence[Target]) -> Target:
-        """Return the least loaded, any of several."""
+    def pick(self, candidates: Sequence[Target]) -> Target:
+        """Return the least loaded target; ties are broken at random."""
         return min(
-            heads, key=lambda t: (self.in_flight_by_id[t.id], self.chance.random())
+            candidates, key=lambda t: (self.in_flight_by_id[t.id], self.rng.random())
         )
 
 
 class RandomOfTwo(Baseline):
-    """The less loaded of two that chance picks."""
+    """Picks the less loaded of two random targets."""
 
     __slots__ = ()
 
-    def pick(self, heads: Sequence[Target]) -> Target:
-        """Return the less loaded of two."""
-        two = self.chance.sample(list(heads), min(2, len(heads)))
-        return min(two, key=lambda t: self.in_flight_by_id[t.id])
+    def pick(self, candidates: Sequence[Target]) -> Target:
+        """Return the less loaded of two random candidates."""
+        sampled = self.rng.sample(list(candidates), min(2, len(candidates)))
+        return min(sampled, key=lambda t: self.in_flight_by_id[t.id])
 
 
 class LeastInFlightInZone(LeastInFlight):
-    """The same, within the entry host's own zone wherever it covers the model."""
+    """Least in flight within the entry host's zone if that zone covers the model."""
 
     __slots__ = ()
 
@@ -179,8 +181,12 @@
         entry_hosts: int,
         now: float,
     ) -> None:
-        """Replace the targets by those of the zone."""
+        """Replace the targets by the zone's own if they cover the model."""
         local = [target for target in targets if target.zone == zone]
-        held = sum({t.layers: t.layers.end - t.layers.first for t in local}.values())
-        whole = bool(local) and held >= local[0].model_layers
-        super().set_fleet(local if whole else targets, links, zone, entry_hosts, now)
+        held_layers = sum(
+            {t.layers: t.layers.end - t.layers.first for t in local}.values()
+        )
+        covers_model = bool(local) and held_layers >= local[0].model_layers
+        super().set_fleet(
+            local if covers_model else targets, links, zone, entry_hosts, now
+        )
--- a/bench/_claim_costs.py
+++ b/bench/_claim_costs.py
@@ -1,7 +1,7 @@
-"""Calls and latency of claims of idempotency keys, on fakes.
+"""Measures calls and latency of idempotency key claims against fakes.
 
-Time is virtual: a question to another host takes a millisecond there and back,
-a call to the platform's store four.  The CPU figure is real.
+Time is virtual: a request to another host takes a one-millisecond round trip, a
+call to the platform's store four milliseconds.  The CPU figure is real.
 """
 
 import time
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClaimCost:
-    """Per keyed request: claim and the note of its end."""
+    """Cost of one keyed request: its claim and the record of its end."""
 
     peer_asks: float
     platform_reads: float
@@ -36,7 +36,7 @@
 
 
 class CountedPeers:
-    """Peers in one process; counts questions."""
+    """Peers in one process that count the requests they send."""
 
     __slots__ = ("fleet", "host", "handlers_by_topic")
 
@@ -54,21 +54,21 @@
         self.handlers_by_topic[topic] = handler
 
     async def ask(self, member_id, topic, payload, timeout_s):
-        """Ask after the time that a round trip takes."""
-        self.fleet.asks += 1
+        """Call the other host's handler after the time of a round trip."""
+        self.fleet.peer_requests += 1
         await trio.sleep(PEER_S)
         other = self.fleet.peers_by_id[member_id]
         return await other.handlers_by_topic[topic](self.host.id, payload)
 
 
 class CountedFleet:
-    """Hosts with claims on one platform."""
+    """Hosts that claim keys in one platform store."""
 
-    __slots__ = ("asks", "claims", "peers_by_id", "platform")
+    __slots__ = ("peer_requests", "claims", "peers_by_id", "platform")
 
     def __init__(self, size: int):
         clock = TrioClock()
-        self.asks = 0
+        self.peer_requests = 0
         self.peers_by_id = {}
         self.platform = FakePlatform(clock)
         self.platform.faults.delay_s = PLATFORM_S
@@ -84,9 +84,9 @@
 
 
 def slots_cost(size: int, keys: int = KEYS) -> ClaimCost:
-    """Return the cost of claims in the platform's slots in a fleet of a size."""
-    waits: list[float] = []
-    ends: list[float] = []
+    """Return the cost of claims in the platform's slots, in a fleet of `size` hosts."""
+    claim_times: list[float] = []
+    finish_times: list[float] = []
     fleets: list[CountedFleet] = []
 
     async def main() -> None:
@@ -105,26 +105,26 @@
         started = trio.current_time()
         result = await claims.claim("w", key, "d", "r", started + 500.0)
         claimed = trio.current_time()
-        waits.append(claimed - started)
+        claim_times.append(claimed - started)
         await claims.finish(result.ok, ANSWER)
-        ends.append(trio.current_time() - claimed)
+        finish_times.append(trio.current_time() - claimed)
 
     before = time.process_time()
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
     cpu_s = time.process_time() - before
     platform = fleets[0].platform
     return ClaimCost(
-        fleets[0].asks / keys,
+        fleets[0].peer_requests / keys,
         platform.calls(kind="read") / keys,
         platform.calls(kind="write") / keys,
-        sum(waits) / keys * 1e3,
-        sum(ends) / keys * 1e3,
+        sum(claim_times) / keys * 1e3,
+        sum(finish_times) / keys * 1e3,
         cpu_s / keys * 1e6,
     )
 
 
 def book_bytes(records: int) -> float:
-    """Return the bytes of memory of a kept claim without its answer."""
+    """Return the memory in bytes of one stored claim record without its answer."""
     book = ClaimBook(records)
     tracemalloc.start()
     for number in range(records):
--- a/bench/_cli.py
+++ b/bench/_cli.py
@@ -1,4 +1,4 @@
-"""Which scenarios there are, and the run over all or some of them."""
+"""Lists the scenarios and runs all or some of them."""
 
 import functools
 from collections.abc import Callable, Sequence
@@ -20,14 +20,14 @@
 
 
 def main(names: Sequence[str]) -> int:
-    """Play the named scenarios, or all; print a line each and keep the figures."""
+    """Run the named scenarios, or all; print a line for each and save its figures."""
     unknown = [name for name in names if name not in SCENARIOS]
     if unknown:
-        print(f"no scenario {unknown[0]}; there are {', '.join(SCENARIOS)}")
+        print(f"unknown scenario {unknown[0]}; choose from {', '.join(SCENARIOS)}")
         return 2
     for name in names or SCENARIOS:
         result = SCENARIOS[name]()
         print(result.line(), flush=True)
-        _report.keep(result)
-    _report.draw(_report.kept())
+        _report.save(result)
+    _report.draw(_report.load_saved())
     return 0
--- a/bench/_cost.py
+++ b/bench/_cost.py
@@ -1,4 +1,4 @@
-"""What the decisions cost: processor time and memory, by size."""
+"""Measures processor time and memory of decisions by targets and workspaces."""
 
 import statistics
 import time
@@ -12,18 +12,18 @@
 
 DECISIONS = 2000
 BATCH = 100
-"""Requests timed at a time; the median batch leaves out what others disturb."""
+"""Requests timed together; the median batch excludes disturbance by other processes."""
 
 RUNNING = 100
 """Requests in flight at one entry host while decisions are timed."""
 
 AIM_US = 200.0
 ZONE_TARGETS = 65
-"""Targets of a zone at the target size: 1,100 in 17 zones."""
+"""Targets per zone at the target fleet size, 1,100 targets in 17 zones."""
 
 
 def make_fleet(count: int) -> tuple[list[Target], list[Link]]:
-    """Return targets in zones of about 65 (three at the least), and links."""
+    """Return targets, about 65 a zone in at least three zones, and their links."""
     zones = [f"z{i}" for i in range(max(3, count // ZONE_TARGETS))]
     targets = []
     for index in range(count):
@@ -51,7 +51,7 @@
 
 
 def make_work(index: int, workspaces: int) -> Work:
-    """Return a request of one of many workspaces."""
+    """Return a request of one of `workspaces` workspaces."""
     return Work(
         f"r{index}",
         f"w{index * 7919 % workspaces}",
@@ -87,7 +87,7 @@
 
 
 def queue_bytes(workspaces: int) -> dict[str, float]:
-    """Return bytes held with one entry waiting of each workspace, and after."""
+    """Return MB held after one withdrawn entry per workspace, and with one queued."""
     fleet, links = make_fleet(30)
     scheduler = Scheduler()
     scheduler.set_fleet(fleet, links, "z0", 9, 0.0)
@@ -112,7 +112,7 @@
 
 
 def cost_per_decision() -> Result:
-    """Time a request's decisions at 30 and at 1,100 targets."""
+    """Measure the decisions for a request with 30 and with 1,100 targets."""
     small, large = decision_us(30), decision_us(1100)
     memory = queue_bytes(42_000)
     details = {
@@ -132,11 +132,11 @@
         scheduler.offer(make_work(index, workspaces), 0.0)
     started = [item for item in scheduler.take(0.0) if isinstance(item, Dispatch)]
     if not started:
-        raise ValueError("the fleet took no work")
+        raise ValueError("the scheduler dispatched no requests")
 
 
 def _request_us(scheduler: Scheduler, first: int, workspaces: int) -> float:
-    """Return the time to admit, start and end a request, over one batch."""
+    """Return the mean time to admit, start and end a request of one batch."""
     works = [make_work(index, workspaces) for index in range(first, first + BATCH)]
     started = time.process_time()
     for index, work in enumerate(works, first):
--- a/bench/_events.py
+++ b/bench/_events.py
@@ -1,4 +1,4 @@
-"""A small loop of timed calls in virtual time."""
+"""Runs scheduled calls in virtual time."""
 
 import heapq
 import itertools
@@ -6,7 +6,7 @@
 
 
 class Events:
-    """Calls ordered by time, then by the order in which they were asked for."""
+    """Queue of calls, ordered by time and then by the order of scheduling."""
 
     __slots__ = ("now", "_heap", "_sequence")
 
@@ -16,11 +16,11 @@
         self._sequence = itertools.count()
 
     def at(self, when: float, call: Callable, *args) -> None:
-        """Ask for a call at a time, in seconds."""
+        """Schedule a call at a time in seconds."""
         heapq.heappush(self._heap, (when, next(self._sequence), call, args))
 
     def run(self, until: float) -> None:
-        """Make the calls due before a time."""
+        """Run the calls that are due before a time."""
         heap = self._heap
         while heap and heap[0][0] < until:
             self.now, _, call, args = heapq.heappop(heap)
--- a/bench/_fakes.py
+++ b/bench/_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes of targets and links: batches, steps and queues, nothing more."""
+"""Fakes of targets and links that model only batches, steps and queues."""
 
 import heapq
 from collections.abc import Callable
@@ -6,21 +6,21 @@
 from bench._events import Events
 from radishfield.core import Link, LoadReport, Route, Target
 
-BASE_PART = 0.5
-"""Part of a full batch's step that an empty one would take as well."""
+BASE_STEP_SHARE = 0.5
+"""Share of a full batch's step time that does not depend on the batch's size."""
 
-PREFILL_PART = 0.1
-"""Cost of a prompt token in generated tokens."""
+PREFILL_TOKEN_COST = 0.1
+"""Cost of a prompt token relative to a generated token."""
 
 
 class Stream:
-    """One attempt on its way through a route, token by token."""
+    """One attempt that passes through the stages of a route once per token."""
 
     __slots__ = (
         "request_id",
         "attempt",
         "stages",
-        "parts",
+        "layer_shares",
         "links",
         "stage",
         "work",
@@ -44,7 +44,7 @@
         self.request_id = request_id
         self.attempt = attempt
         self.stages: list[FakeTarget] = []
-        self.parts: list[float] = []
+        self.layer_shares: list[float] = []
         self.links: list[FakeLink] = []
         self.stage = 0
         self.work = 1.0 + prefill
@@ -56,7 +56,7 @@
 
 
 class FakeLink:
-    """A link that carries one token's state after the other."""
+    """A link that transfers the states of tokens one after another."""
 
     __slots__ = ("latency_s", "seconds_per_token", "_free_at")
 
@@ -66,13 +66,13 @@
         self._free_at = 0.0
 
     def arrival(self, now: float) -> float:
-        """Return when a token's state that leaves now arrives."""
+        """Return the arrival time of a token's state that is sent now."""
         self._free_at = max(now, self._free_at) + self.seconds_per_token
         return self._free_at + self.latency_s
 
 
 class FakeTarget:
-    """An engine that runs its waiting tokens in batches, by priority."""
+    """An engine that processes waiting tokens in batches, by priority."""
 
     __slots__ = (
         "target",
@@ -97,11 +97,11 @@
         self._sequence = 0
         self._busy = False
         full_s = target.slots / target.speed_tps
-        self._base_s = full_s * BASE_PART
-        self._token_s = full_s * (1 - BASE_PART) / target.slots
+        self._base_s = full_s * BASE_STEP_SHARE
+        self._token_s = full_s * (1 - BASE_STEP_SHARE) / target.slots
 
     def arrive(self, stream: Stream) -> None:
-        """Take a token's state in."""
+        """Queue a token's state for the next batch."""
         if not self.alive or not stream.alive:
             return
         self._sequence += 1
@@ -110,12 +110,12 @@
             self._start()
 
     def slow_down(self, factor: float) -> None:
-        """Take longer for each step from now on."""
+        """Make every following step take longer by a factor."""
         self._base_s *= factor
         self._token_s *= factor
 
     def report(self) -> LoadReport:
-        """Return its own account; the step time is the declared one."""
+        """Return the target's load report; its step time is the declared one."""
         target = self.target
         return LoadReport(
             target.id,
@@ -136,7 +136,7 @@
             _, _, stream = heapq.heappop(self._waiting)
             if stream.alive:
                 batch.append(stream)
-                work += stream.work * stream.parts[stream.stage]
+                work += stream.work * stream.layer_shares[stream.stage]
         if not batch:
             return
         self._busy = True
@@ -149,12 +149,12 @@
             return
         for stream in batch:
             if stream.alive:
-                _move_on(stream, self._events)
+                _advance(stream, self._events)
         if self._waiting:
             self._start()
 
 
-def _move_on(stream: Stream, events: Events) -> None:
+def _advance(stream: Stream, events: Events) -> None:
     link = stream.links[stream.stage]
     stream.stage += 1
     if stream.stage == len(stream.stages):
@@ -176,27 +176,31 @@
     def __init__(self, targets: list[Target], links: list[Link], events: Events):
         self.events = events
         self.targets_by_id = {t.id: FakeTarget(t, events) for t in targets}
-        self._links_by_pair = {(k.from_zone, k.to_zone): FakeLink(k) for k in links}
+        self._links_by_pair = {
+            (link.from_zone, link.to_zone): FakeLink(link) for link in links
+        }
 
     def start(self, stream: Stream, route: Route) -> None:
-        """Send an attempt on its way."""
+        """Send an attempt to the first stage of its route."""
         for stage in route.stages:
             fake = self.targets_by_id[stage.target_id]
-            held = fake.target.layers.end - fake.target.layers.first
+            held_layers = fake.target.layers.end - fake.target.layers.first
             stream.stages.append(fake)
-            stream.parts.append((stage.layers.end - stage.layers.first) / held)
+            stream.layer_shares.append(
+                (stage.layers.end - stage.layers.first) / held_layers
+            )
             fake.streams += 1
             fake.started_at.append(self.events.now)
         zones = [fake.target.zone for fake in stream.stages]
         for here, there in zip(zones, zones[1:], strict=False):
             stream.links.append(self._links_by_pair[here, there])
-        # The token itself goes back, not a state: any link carries it at once.
+        # The last stage returns the token, not a state: any link carries it at once.
         stream.links.append(self._links_by_pair[zones[0], zones[0]])
         first = stream.stages[0]
         self.events.at(self.events.now + 0.0005, first.arrive, stream)
 
     def stop(self, stream: Stream) -> None:
-        """Forget an attempt, wherever it is."""
+        """Stop an attempt at whatever stage it is."""
         if stream.alive:
             stream.alive = False
             for fake in stream.stages:
--- a/bench/_faults.py
+++ b/bench/_faults.py
@@ -1,4 +1,4 @@
-"""The scenarios of faults, each played for every policy."""
+"""Fault scenarios, each run with every policy."""
 
 from collections.abc import Sequence
 
@@ -12,119 +12,131 @@
     bound_tps,
     goodput,
     new_world,
-    part_on_time,
     percentile,
+    share_on_time,
 )
 from radishfield.core import Target
 
-ALL = tuple(POLICIES)
+ALL_POLICIES = tuple(POLICIES)
 LOAD_SEED = 7
 LOAD_SEEDS = (7, 8, 9)
 FAULT_AT_S = 60.0
 FLEET_DETECTION_S = 1.0
 REBUILD_S = 0.5
-"""A prefill of the prompt and the committed tokens through four full stages."""
+"""Seconds to prefill the prompt and the committed tokens through four full stages."""
 
 
-def slow_target(until_s: float = 120.0, policies: Sequence[str] = ALL) -> Result:
-    """Play a target that turns ten times slower and declares its old speed."""
+def slow_target(
+    until_s: float = 120.0, policies: Sequence[str] = ALL_POLICIES
+) -> Result:
+    """Simulate a target that becomes ten times slower but declares its old speed."""
     targets, links = mixed_targets(), uneven_links()
     slow = max(targets, key=lambda t: (t.layers.first == 20, t.speed_tps))
-    without = [t for t in targets if t.id != slow.id]
-    bound = bound_tps(without, links)
-    parts = {}
+    healthy = [t for t in targets if t.id != slow.id]
+    bound = bound_tps(healthy, links)
+    ratio_by_policy = {}
     shifted = 0.0
     for policy in policies:
         world = new_world(targets, links, policy)
         fake = world.fleet.targets_by_id[slow.id]
         world.events.at(FAULT_AT_S, fake.slow_down, 10.0)
-        asks = draw(Pattern(bound * 1.05, until_s=until_s), LOAD_SEED)
-        records = world.play(asks, until_s)
-        parts[policy] = goodput(records, FAULT_AT_S, until_s) / bound
+        requests = draw(Pattern(bound * 1.05, until_s=until_s), LOAD_SEED)
+        records = world.run(requests, until_s)
+        ratio_by_policy[policy] = goodput(records, FAULT_AT_S, until_s) / bound
         if policy == OURS:
             shifted = _seconds_until_shifted(fake.started_at, until_s)
     details = {"seconds_until_shifted": shifted}
-    return Result("slow_target", parts[OURS], parts, 0.90, details=details)
+    return Result(
+        "slow_target", ratio_by_policy[OURS], ratio_by_policy, 0.90, details=details
+    )
 
 
 def stage_dies(
     until_s: float = 100.0,
-    policies: Sequence[str] = ALL,
+    policies: Sequence[str] = ALL_POLICIES,
     seeds: Sequence[int] = LOAD_SEEDS,
 ) -> Result:
-    """Play a stage's death in the middle of a token, at 80% load."""
+    """Simulate the crash of a stage in the middle of a token, at 80% load."""
     targets, links = mixed_targets(), uneven_links()
     bound = bound_tps(targets, links)
     victim = next(t for t in targets if t.layers.first == 20 and t.speed_tps == 200)
-    p99s = {}
+    p99_by_policy = {}
     details = {}
     for policy in policies:
-        gaps, hit, ended = [], [], []
+        gaps, affected, ended = [], [], []
         for seed in seeds:
             world = new_world(targets, links, policy)
-            watch = _GapWatch(world)
-            world.events.at(FAULT_AT_S, watch.kill, [victim])
-            gone = [t for t in targets if t.id != victim.id]
-            world.events.at(FAULT_AT_S + FLEET_DETECTION_S, _lose, world, gone)
-            asks = draw(Pattern(bound * 0.8, until_s=until_s - 40.0), seed)
-            records = world.play(asks, until_s)
-            gaps += watch.gaps
-            hit += [r for r in records if r.ask.work.request_id in watch.hit]
+            recorder = _GapRecorder(world)
+            world.events.at(FAULT_AT_S, recorder.kill, [victim])
+            remaining = [t for t in targets if t.id != victim.id]
+            world.events.at(
+                FAULT_AT_S + FLEET_DETECTION_S, _set_targets, world, remaining
+            )
+            requests = draw(Pattern(bound * 0.8, until_s=until_s - 40.0), seed)
+            records = world.run(requests, until_s)
+            gaps += recorder.gaps
+            affected += [
+                r for r in records if r.request.work.request_id in recorder.affected
+            ]
             ended += [r for r in records if r.outcome != "open"]
-        p99s[policy] = percentile(gaps, 0.99)
+        p99_by_policy[policy] = percentile(gaps, 0.99)
         if policy == OURS:
             details = {
                 "p50_s": percentile(gaps, 0.5),
-                "hit": len(hit),
-                "hit_on_time": part_on_time(hit),
-                "on_time": part_on_time(ended),
+                "hit": len(affected),
+                "hit_on_time": share_on_time(affected),
+                "on_time": share_on_time(ended),
             }
     aim = 2 * (DETECTION_S + REBUILD_S)
-    return Result("stage_dies", p99s[OURS], p99s, aim, False, details)
+    return Result("stage_dies", p99_by_policy[OURS], p99_by_policy, aim, False, details)
 
 
-def zone_lost(until_s: float = 90.0, policies: Sequence[str] = ALL) -> Result:
-    """Play the loss of one zone of three, hosts and targets, at 60% load."""
+def zone_lost(until_s: float = 90.0, policies: Sequence[str] = ALL_POLICIES) -> Result:
+    """Simulate the loss of one zone of three, hosts and targets, at 60% load."""
     targets, links = even_targets(), uneven_links()
-    rest = [t for t in targets if t.zone != ZONES[2]]
-    full, left = bound_tps(targets, links), bound_tps(rest, links)
+    remaining = [t for t in targets if t.zone != ZONES[2]]
+    full_tps, remaining_tps = bound_tps(targets, links), bound_tps(remaining, links)
     dead = [t.id for t in targets if t.zone == ZONES[2]]
-    seconds = {}
+    seconds_by_policy = {}
     details = {}
     for policy in policies:
         world = new_world(targets, links, policy)
         world.events.at(FAULT_AT_S, world.kill, dead)
         world.events.at(FAULT_AT_S, world.kill_hosts, ZONES[2])
-        world.events.at(FAULT_AT_S + FLEET_DETECTION_S, _lose, world, rest)
-        asks = draw(Pattern(full * 0.6, until_s=until_s), LOAD_SEED)
-        records = world.play(asks, until_s)
-        wanted = 0.95 * min(left, full * 0.6)
+        world.events.at(FAULT_AT_S + FLEET_DETECTION_S, _set_targets, world, remaining)
+        requests = draw(Pattern(full_tps * 0.6, until_s=until_s), LOAD_SEED)
+        records = world.run(requests, until_s)
+        wanted_tps = 0.95 * min(remaining_tps, full_tps * 0.6)
         detected = FAULT_AT_S + FLEET_DETECTION_S
-        seconds[policy] = _seconds_to_rate(world, detected, wanted, until_s)
+        seconds_by_policy[policy] = _seconds_to_rate(
+            world, detected, wanted_tps, until_s
+        )
         if policy == OURS:
             ended = [r for r in records if r.outcome not in ("open", "host-lost")]
-            details = {"on_time": part_on_time(ended)}
-    return Result("zone_lost", seconds[OURS], seconds, 2.0, False, details)
+            details = {"on_time": share_on_time(ended)}
+    return Result(
+        "zone_lost", seconds_by_policy[OURS], seconds_by_policy, 2.0, False, details
+    )
 
 
-class _GapWatch:
-    """Time from a death to the next token of each stream that it cut."""
+class _GapRecorder:
+    """Measures the time from a crash to the next token of each interrupted stream."""
 
-    __slots__ = ("hit", "gaps", "_world")
+    __slots__ = ("affected", "gaps", "_world")
 
     def __init__(self, world: World):
-        self.hit: set[str] = set()
+        self.affected: set[str] = set()
         self.gaps: list[float] = []
         self._world = world
 
     def kill(self, victims: Sequence[Target]) -> None:
-        """End the targets and start to watch."""
+        """Kill the targets and start measuring the streams that used them."""
         ids = {target.id for target in victims}
         for host in self._world.hosts:
             for stream in host.streams_by_request.values():
                 if any(fake.target.id in ids for fake in stream.stages):
-                    self.hit.add(stream.request_id)
-        waiting = set(self.hit)
+                    self.affected.add(stream.request_id)
+        waiting = set(self.affected)
         self._world.on_token = lambda stream, now: self._token(stream, now, waiting)
         self._world.kill(sorted(ids))
 
@@ -134,13 +146,13 @@
             self.gaps.append(now - FAULT_AT_S)
 
 
-def _lose(world: World, rest: Sequence[Target]) -> None:
-    world.targets = list(rest)
-    world.tell_fleet()
+def _set_targets(world: World, remaining: Sequence[Target]) -> None:
+    world.targets = list(remaining)
+    world.publish_fleet()
 
 
 def _seconds_until_shifted(started_at: Sequence[float], until_s: float) -> float:
-    """Return when new work for a target fell under a fifth of what it was."""
+    """Return the seconds until a target's new work fell to 20% of its former rate."""
     window = 5.0
     before = sum(FAULT_AT_S - 20 <= at < FAULT_AT_S for at in started_at) / 20.0
     at = FAULT_AT_S
@@ -155,11 +167,11 @@
 def _seconds_to_rate(
     world: World, detected: float, wanted_tps: float, until_s: float
 ) -> float:
-    """Return when a second's tokens first reached a rate again."""
+    """Return the seconds from detection until a second's tokens first reach a rate."""
     index = int(detected * 4)
     while index < (until_s - 1) * 4:
-        passed = sum(world.tokens_by_slice.get(index + i, 0) for i in range(4))
-        if passed >= wanted_tps:
+        tokens = sum(world.tokens_by_slice.get(index + i, 0) for i in range(4))
+        if tokens >= wanted_tps:
             return index / 4 - detected
         index += 1
     return until_s - detected
--- a/bench/_fleet_processes.py
+++ b/bench/_fleet_processes.py
@@ -1,8 +1,8 @@
-"""The control plane of a fleet of real processes, measured from outside.
+"""Measures the control plane of a fleet of real processes from outside.
 
 Nine entry hosts in three zones, their engines and the platform stand-in, each a
 process on loopback.  Delays are read at the operators' endpoints, so they
-include HTTP and up to one turn of polling.
+include HTTP and up to one polling interval.
 """
 
 import os
@@ -28,29 +28,29 @@
 CHANGES = 10
 DRAINS = 6
 POLL_S = 0.02
-PATIENCE_S = 30.0
+TIMEOUT_S = 30.0
 
 AUTHORIZED = {"authorization": f"Bearer {OPERATOR_TOKEN}"}
 
 
 @dataclass(slots=True, frozen=True)
-class SeenProfile:
-    """The part of a profile that a change of this bench touches."""
+class ProfileFields:
+    """The fields of a profile that this benchmark changes."""
 
     name: str
     deadline_s: float
 
 
 @dataclass(slots=True, frozen=True)
-class SeenProfileList:
+class ProfileListFields:
     """A host's list of profiles."""
 
-    profiles: tuple[SeenProfile, ...]
+    profiles: tuple[ProfileFields, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class SeenStatus:
-    """The part of a host's status that is read here."""
+class StatusFields:
+    """The fields of a host's status that are read here."""
 
     members: tuple[Member, ...]
     targets: tuple[Target, ...]
@@ -58,14 +58,14 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetFigures:
-    """What one run measured.
+    """The figures of one run.
 
     Attributes
     ----------
     cpu_share : float
-        Of a core, for a quiet entry host.
+        Mean CPU use of an idle entry host, as a share of one core.
     resident_bytes : int
-        Of the largest entry host.
+        Resident memory of the largest entry host.
     """
 
     platform_calls_per_s: float
@@ -77,7 +77,7 @@
 
 
 async def measure_processes(hosts_a_zone: int, seed: int = 1) -> FleetFigures:
-    """Start a fleet, measure it, and end it."""
+    """Start a fleet, measure it and stop it."""
     plans = tuple(ZonePlan(zone, hosts_a_zone) for zone in ZONES)
     with tempfile.TemporaryDirectory() as folder:
         fleet = SmallFleet(Path(folder), plans)
@@ -90,17 +90,17 @@
 
 
 class Measurement:
-    """The steps of one run."""
+    """The measuring steps of one run."""
 
-    __slots__ = ("_chance", "_fleet", "_pool")
+    __slots__ = ("_rng", "_fleet", "_pool")
 
-    def __init__(self, fleet: SmallFleet, chance: random.Random):
+    def __init__(self, fleet: SmallFleet, rng: random.Random):
         self._fleet = fleet
-        self._chance = chance
+        self._rng = rng
         self._pool = httpcore.AsyncConnectionPool(max_connections=64)
 
     async def run(self) -> FleetFigures:
-        """Take all figures, the kill last."""
+        """Measure all figures; the step that kills a host comes last."""
         calls, cpu_share = await self._measure_quiet()
         resident = max(map(resident_bytes, self._fleet.entry_process_ids))
         spread_s = await self._measure_spread()
@@ -110,148 +110,152 @@
         return FleetFigures(calls, cpu_share, resident, spread_s, drain_s, detection_s)
 
     async def _measure_quiet(self) -> tuple[float, float]:
-        """Return platform calls a second and zone, and the CPU of a host."""
+        """Return platform calls per second and zone, and the CPU share of a host."""
         pids = self._fleet.entry_process_ids
-        calls, cpu_s = await self._calls(), sum(map(cpu_seconds, pids))
+        calls, cpu_s = await self._platform_calls(), sum(map(cpu_seconds, pids))
         started = time.monotonic()
         await trio.sleep(QUIET_S)
         elapsed_s = time.monotonic() - started
-        calls = await self._calls() - calls
+        calls = await self._platform_calls() - calls
         cpu_s = sum(map(cpu_seconds, pids)) - cpu_s
         return calls / elapsed_s / len(ZONES), cpu_s / elapsed_s / len(pids)
 
     async def _measure_spread(self) -> Sequence[float]:
-        """Change a profile at some host, and see when each host has it."""
+        """Change a profile at a random host; measure when each host has the change."""
         delays: list[float] = []
         for turn in range(CHANGES):
-            entry = self._chance.choice(list(self._fleet.entries_by_id.values()))
+            entry = self._rng.choice(list(self._fleet.entries_by_id.values()))
             body = ProfileBody(name="review", model=MODEL, deadline_s=61.0 + turn)
             sent = time.monotonic()
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(
-                    self._operate, entry, "PUT", "/v1/profiles/review", body
+                    self._request, entry, "PUT", "/v1/profiles/review", body
                 )
                 for other in self._fleet.entries_by_id.values():
                     nursery.start_soon(
-                        self._await, other, has_deadline(turn), sent, delays
+                        self._wait_until_met, other, has_deadline(turn), sent, delays
                     )
             await trio.sleep(1)
         return delays
 
     async def _measure_drain(self) -> Sequence[float]:
-        """Drain a target at some host, and see when each host leaves it out."""
+        """Drain a target at a random host; measure when each host excludes it."""
         delays: list[float] = []
         for target_id in list(self._fleet.targets_by_id)[:DRAINS]:
-            entry = self._chance.choice(list(self._fleet.entries_by_id.values()))
+            entry = self._rng.choice(list(self._fleet.entries_by_id.values()))
             sent = time.monotonic()
             async with trio.open_nursery() as nursery:
                 path = f"/v1/drains/target/{target_id}"
-                nursery.start_soon(self._operate, entry, "PUT", path, None)
+                nursery.start_soon(self._request, entry, "PUT", path, None)
                 for other in self._fleet.entries_by_id.values():
                     nursery.start_soon(
-                        self._await, other, is_leaving(target_id), sent, delays
+                        self._wait_until_met, other, is_leaving(target_id), sent, delays
                     )
             await trio.sleep(1)
         return delays
 
     async def _measure_detection(self) -> Sequence[float]:
-        """Kill a host, and see when each other one holds it for dead."""
+        """Kill a random host; measure when each other host marks it dead."""
         delays: list[float] = []
-        victim = self._chance.choice(list(self._fleet.entries_by_id))
+        victim = self._rng.choice(list(self._fleet.entries_by_id))
         self._fleet.end(victim, signal.SIGKILL)
         killed = time.monotonic()
         async with trio.open_nursery() as nursery:
             for other in self._fleet.entries_by_id.values():
-                nursery.start_soon(self._await, other, is_dead(victim), killed, delays)
+                nursery.start_soon(
+                    self._wait_until_met, other, is_dead(victim), killed, delays
+                )
         return delays
 
-    async def _await(
+    async def _wait_until_met(
         self,
         entry: EntryProcess,
-        seen: "Seen",
+        expected: "Seen",
         since: float,
         delays: list[float],
     ) -> None:
-        """Ask a host until it shows what is awaited, and note how long it took."""
-        with trio.fail_after(PATIENCE_S):
+        """Poll a host until it shows the expected state, and record the delay."""
+        with trio.fail_after(TIMEOUT_S):
             while True:
-                body = await self._operate(entry, "GET", seen.path)
-                if seen.shows(body):
+                body = await self._request(entry, "GET", expected.path)
+                if expected.is_met(body):
                     delays.append(time.monotonic() - since)
                     return
                 await trio.sleep(POLL_S)
 
-    async def _operate(
+    async def _request(
         self, entry: EntryProcess, method: str, path: str, body: object = None
     ) -> bytes:
-        answer = await self._pool.request(
+        response = await self._pool.request(
             method,
             f"http://127.0.0.1:{entry.operator_port}{path}",
             headers=AUTHORIZED,
             content=None if body is None else msgspec.json.encode(body),
         )
-        if answer.status != 200:
-            raise SystemExit(f"{method} {path}: {answer.status} {answer.content!r}")
-        return answer.content
+        if response.status != 200:
+            raise SystemExit(
+                f"{method} {path}: status {response.status}, body {response.content!r}"
+            )
+        return response.content
 
-    async def _calls(self) -> int:
+    async def _platform_calls(self) -> int:
         url = f"http://127.0.0.1:{self._fleet.platform_port}/control/calls"
-        answer = await self._pool.request("GET", url)
-        counts = msgspec.json.decode(answer.content, type=list[CallCount])
+        response = await self._pool.request("GET", url)
+        counts = msgspec.json.decode(response.content, type=list[CallCount])
         return sum(count.calls for count in counts)
 
 
 @dataclass(slots=True, frozen=True)
 class Seen:
-    """What is asked of a host, and what its answer has to show."""
+    """A path to poll at a host, and the check that its response has to pass."""
 
     path: str
-    shows: Callable[[bytes], bool]
+    is_met: Callable[[bytes], bool]
 
 
 def has_deadline(turn: int) -> Seen:
-    """Await the change of one turn."""
+    """Expect the profile change of one turn."""
 
-    def shows(body: bytes) -> bool:
-        profiles = msgspec.json.decode(body, type=SeenProfileList).profiles
+    def is_met(body: bytes) -> bool:
+        profiles = msgspec.json.decode(body, type=ProfileListFields).profiles
         return any(p.name == "review" and p.deadline_s == 61 + turn for p in profiles)
 
-    return Seen("/v1/profiles", shows)
+    return Seen("/v1/profiles", is_met)
 
 
 def is_leaving(target_id: str) -> Seen:
-    """Await that a target is given no new work."""
+    """Expect that a target receives no new work."""
 
-    def shows(body: bytes) -> bool:
-        targets = msgspec.json.decode(body, type=SeenStatus).targets
+    def is_met(body: bytes) -> bool:
+        targets = msgspec.json.decode(body, type=StatusFields).targets
         return any(
             target.id == target_id and target.state is not TargetState.LIVE
             for target in targets
         )
 
-    return Seen("/v1/status", shows)
+    return Seen("/v1/status", is_met)
 
 
 def is_dead(host_id: str) -> Seen:
-    """Await that an entry host is held for dead."""
+    """Expect that an entry host is marked dead."""
 
-    def shows(body: bytes) -> bool:
-        members = msgspec.json.decode(body, type=SeenStatus).members
+    def is_met(body: bytes) -> bool:
+        members = msgspec.json.decode(body, type=StatusFields).members
         return any(
             member.id == host_id and member.state is MemberState.DEAD
             for member in members
         )
 
-    return Seen("/v1/status", shows)
+    return Seen("/v1/status", is_met)
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return a process' CPU seconds so far."""
+    """Return the CPU seconds that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def resident_bytes(pid: int) -> int:
-    """Return a process' resident memory."""
+    """Return the resident memory of a process."""
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     return pages * os.sysconf("SC_PAGE_SIZE")
--- a/bench/_fleets.py
+++ b/bench/_fleets.py
@@ -1,4 +1,4 @@
-"""The fleets that the scenarios play on."""
+"""Builds the fleets that the scenarios use."""
 
 from bench._load import MODEL
 from radishfield.core import LayerRange, Link, Target
@@ -8,7 +8,7 @@
 STAGE_LAYERS = 10
 
 MIXED = {
-    # Speeds in tokens per second by stage: no zone is balanced in itself.
+    # Speeds in tokens per second by stage.  No zone is balanced on its own.
     "duluth-hall": ((400, 200), (400, 100, 100), (200, 100), (400, 100)),
     "toledo-hall": ((200, 100), (200, 200), (400, 200, 200), (200, 200, 100)),
     "kingston-hall": ((200, 200, 100), (200, 200), (200, 200), (400, 200, 100)),
@@ -22,7 +22,7 @@
 
 
 def mixed_targets() -> list[Target]:
-    """Return 30 targets of four speeds in three zones, four stages."""
+    """Return 30 targets of three speeds in three zones and four stages."""
     targets = []
     for zone, stages in MIXED.items():
         for stage, speeds in enumerate(stages):
@@ -32,7 +32,7 @@
 
 
 def even_targets(per_stage: int = 2, speed: int = 200) -> list[Target]:
-    """Return the same targets in each zone, four stages."""
+    """Return an equal number of targets for each of four stages in each zone."""
     targets = []
     for zone in ZONES:
         for stage in range(4):
--- a/bench/_hosts.py
+++ b/bench/_hosts.py
@@ -1,12 +1,12 @@
-"""Entry hosts that drive a policy as the dispatcher does, in virtual time."""
+"""Simulates, in virtual time, entry hosts that use a policy as the dispatcher does."""
 
 import random
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, replace
 
 from bench._events import Events
-from bench._fakes import PREFILL_PART, FakeFleet, Stream
-from bench._load import Ask
+from bench._fakes import PREFILL_TOKEN_COST, FakeFleet, Stream
+from bench._load import LoadRequest
 from radishfield.core import Fault, Link, Target
 from radishfield.decisions import (
     Dispatch,
@@ -19,10 +19,10 @@
 )
 
 DETECTION_S = 0.5
-"""Seconds until the entry host learns that a stage of a stream died."""
+"""Seconds until the entry host detects that a stage of a stream crashed."""
 
 RECONNECT_S = 0.5
-"""Seconds after which a caller of a lost entry host asks another one."""
+"""Seconds until a caller of a crashed entry host retries at another one."""
 
 REPORT_EVERY_S = 1.0
 REPORT_LAG_S = 1.0
@@ -30,9 +30,9 @@
 
 @dataclass(slots=True)
 class Record:
-    """What became of one request."""
+    """The outcome of one request."""
 
-    ask: Ask
+    request: LoadRequest
     outcome: str = "open"
     ended_at: float = 0.0
     tokens: int = 0
@@ -42,17 +42,19 @@
 
     @property
     def on_time(self) -> bool:
-        """Tell whether the whole answer came before the deadline."""
-        return self.outcome == "finished" and self.ended_at <= self.ask.work.deadline
+        """Return whether the complete answer came by the deadline."""
+        return (
+            self.outcome == "finished" and self.ended_at <= self.request.work.deadline
+        )
 
     @property
     def seconds(self) -> float:
         """Return the time from arrival to the end."""
-        return self.ended_at - self.ask.work.arrived
+        return self.ended_at - self.request.work.arrived
 
 
 class EntryHost:
-    """One entry host: its policy, and its requests in flight."""
+    """An entry host with its policy and its requests in flight."""
 
     __slots__ = (
         "policy",
@@ -71,18 +73,20 @@
         self._world = world
         self._wakeup_at: float | None = None
 
-    def arrive(self, ask: Ask) -> None:
-        """Offer a request."""
+    def arrive(self, request: LoadRequest) -> None:
+        """Offer a request to the policy."""
         now = self._world.events.now
-        decision = self.policy.offer(ask.work, now)
+        decision = self.policy.offer(request.work, now)
         if isinstance(decision, Refused):
-            self._world.refused(ask, decision.fault)
+            self._world.handle_refusal(request, decision.fault)
             return
-        self._world.events.at(ask.work.deadline, self._deadline, ask.work.request_id)
+        self._world.events.at(
+            request.work.deadline, self._deadline, request.work.request_id
+        )
         self.pump()
 
     def pump(self) -> None:
-        """Start and end what the policy says, and ask to be woken again."""
+        """Start and end requests as the policy decides; schedule the next wakeup."""
         if not self.alive:
             return
         now = self._world.events.now
@@ -100,8 +104,8 @@
             self._wakeup_at = wakeup
             self._world.events.at(wakeup, self._wake, wakeup)
 
-    def broken(self, stream: Stream, target_id: str) -> None:
-        """Learn that a stage of a stream died."""
+    def handle_crash(self, stream: Stream, target_id: str) -> None:
+        """Handle the crash of a stream's stage: retry or end the request."""
         if not stream.alive or not self.alive:
             return
         self._world.fleet.stop(stream)
@@ -120,8 +124,8 @@
                 del self.streams_by_request[stream.request_id]
         self.pump()
 
-    def _wake(self, asked: float) -> None:
-        if self._wakeup_at == asked:
+    def _wake(self, due: float) -> None:
+        if self._wakeup_at == due:
             self._wakeup_at = None
             self.pump()
 
@@ -132,12 +136,12 @@
         if not record.attempts:
             record.started_at = self._world.events.now
         record.attempts += 1
-        prefill = (dispatch.work.prompt_tokens + committed) * PREFILL_PART
+        prefill = (dispatch.work.prompt_tokens + committed) * PREFILL_TOKEN_COST
         stream = Stream(
             dispatch.work.request_id,
             dispatch.attempt,
             committed,
-            record.ask.tokens,
+            record.request.tokens,
             prefill,
             self._token,
             dispatch.engine_priority,
@@ -148,7 +152,7 @@
         if dead:
             self._world.events.at(
                 self._world.events.now + DETECTION_S,
-                self.broken,
+                self.handle_crash,
                 stream,
                 dead[0].target.id,
             )
@@ -176,7 +180,7 @@
 
 
 class World:
-    """One run: a fleet, entry hosts behind a balancer, and the records."""
+    """One simulation: a fleet, entry hosts behind a load balancer, and records."""
 
     __slots__ = (
         "events",
@@ -184,11 +188,11 @@
         "hosts",
         "records_by_request",
         "tokens_by_slice",
-        "asks_again",
+        "max_caller_retries",
         "on_token",
         "targets",
         "links",
-        "_balancer",
+        "_balancer_rng",
     )
 
     def __init__(
@@ -207,14 +211,14 @@
         ]
         self.records_by_request: dict[str, Record] = {}
         self.tokens_by_slice: dict[int, int] = {}
-        self.asks_again = 0
+        self.max_caller_retries = 0
         self.on_token: Callable | None = None
-        self._balancer = random.Random(seed)
-        self.tell_fleet()
+        self._balancer_rng = random.Random(seed)
+        self.publish_fleet()
         self.events.at(REPORT_EVERY_S, self._report)
 
-    def tell_fleet(self) -> None:
-        """Tell every live entry host the present targets."""
+    def publish_fleet(self) -> None:
+        """Pass the current targets to the policy of every live entry host."""
         live = [host for host in self.hosts if host.alive]
         for host in live:
             host.policy.set_fleet(
@@ -222,43 +226,43 @@
             )
             host.pump()
 
-    def play(self, asks: Sequence[Ask], until: float) -> list[Record]:
-        """Play the requests and return what became of them."""
-        for ask in asks:
-            self.records_by_request[ask.work.request_id] = Record(ask)
-            self.events.at(ask.work.arrived, self._arrive, ask)
+    def run(self, requests: Sequence[LoadRequest], until: float) -> list[Record]:
+        """Simulate the requests and return their records."""
+        for request in requests:
+            self.records_by_request[request.work.request_id] = Record(request)
+            self.events.at(request.work.arrived, self._arrive, request)
         self.events.run(until)
         return list(self.records_by_request.values())
 
     def end(self, request_id: str, outcome: str, tokens: int) -> Record:
-        """Write down how a request ended."""
+        """Record the outcome of a request."""
         record = self.records_by_request[request_id]
         record.outcome = outcome
         record.tokens = tokens
         record.ended_at = self.events.now
         return record
 
-    def refused(self, ask: Ask, problem: Fault) -> None:
-        """Let the caller ask again when told to, as often as callers do here."""
-        record = self.end(ask.work.request_id, problem.code.name, 0)
+    def handle_refusal(self, request: LoadRequest, problem: Fault) -> None:
+        """Let the caller retry when requested, up to `max_caller_retries` times."""
+        record = self.end(request.work.request_id, problem.code.name, 0)
         record.refusals += 1
-        if record.refusals > self.asks_again or problem.retry_after_s is None:
+        if record.refusals > self.max_caller_retries or problem.retry_after_s is None:
             return
         now = self.events.now + problem.retry_after_s
-        patience_s = ask.work.deadline - ask.work.arrived
-        work = replace(ask.work, arrived=now, deadline=now + patience_s)
-        record.outcome, record.ask = "open", replace(ask, work=work)
-        self.events.at(now, self._arrive, record.ask)
+        timeout_s = request.work.deadline - request.work.arrived
+        work = replace(request.work, arrived=now, deadline=now + timeout_s)
+        record.outcome, record.request = "open", replace(request, work=work)
+        self.events.at(now, self._arrive, record.request)
 
     def count_token(self, stream: Stream) -> None:
-        """Count a committed token in its quarter of a second."""
+        """Count a committed token in its quarter-second slice."""
         index = int(self.events.now * 4)
         self.tokens_by_slice[index] = self.tokens_by_slice.get(index, 0) + 1
         if self.on_token is not None:
             self.on_token(stream, self.events.now)
 
     def kill(self, target_ids: Sequence[str]) -> None:
-        """End targets; the streams through them learn of it a little later."""
+        """Kill targets; entry hosts detect it on their streams after `DETECTION_S`."""
         dead = set(target_ids)
         for target_id in target_ids:
             self.fleet.targets_by_id[target_id].alive = False
@@ -267,31 +271,32 @@
                 ids = [f.target.id for f in stream.stages if f.target.id in dead]
                 if ids and stream.alive:
                     when = self.events.now + DETECTION_S
-                    self.events.at(when, host.broken, stream, ids[0])
+                    self.events.at(when, host.handle_crash, stream, ids[0])
 
     def kill_hosts(self, zone: str) -> None:
-        """End a zone's entry hosts and with them their requests."""
+        """Kill a zone's entry hosts, which ends their requests."""
         for host in self.hosts:
             if host.zone == zone:
                 host.alive = False
                 for stream in list(host.streams_by_request.values()):
                     self.fleet.stop(stream)
-                    self._ask_elsewhere(stream.request_id)
+                    self._retry_elsewhere(stream.request_id)
 
-    def _ask_elsewhere(self, request_id: str) -> None:
-        """Let a caller whose connection broke ask again, within its deadline."""
+    def _retry_elsewhere(self, request_id: str) -> None:
+        """Let a caller whose connection broke retry within its deadline."""
         record = self.records_by_request[request_id]
-        again = self.events.now + RECONNECT_S
-        record.ask = replace(
-            record.ask, work=replace(record.ask.work, request_id=f"{request_id}-again")
+        retry_at = self.events.now + RECONNECT_S
+        record.request = replace(
+            record.request,
+            work=replace(record.request.work, request_id=f"{request_id}-again"),
         )
-        self.records_by_request[record.ask.work.request_id] = record
+        self.records_by_request[record.request.work.request_id] = record
         del self.records_by_request[request_id]
-        self.events.at(again, self._arrive, record.ask)
+        self.events.at(retry_at, self._arrive, record.request)
 
-    def _arrive(self, ask: Ask) -> None:
+    def _arrive(self, request: LoadRequest) -> None:
         live = [host for host in self.hosts if host.alive]
-        self._balancer.choice(live).arrive(ask)
+        self._balancer_rng.choice(live).arrive(request)
 
     def _report(self) -> None:
         for fake in self.fleet.targets_by_id.values():
--- a/bench/_load.py
+++ b/bench/_load.py
@@ -1,4 +1,4 @@
-"""Seeded load: who asks for how much, and when."""
+"""Draws seeded load: arrival times, workspaces and lengths of requests."""
 
 import random
 from dataclasses import dataclass
@@ -10,8 +10,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
-    """A request with what only the engine knows: the length of its answer."""
+class LoadRequest:
+    """A request and the length of its answer, which only the engine knows."""
 
     work: Work
     tokens: int
@@ -19,16 +19,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Pattern:
-    """How load is drawn.
+    """Parameters of randomly drawn load.
 
     Attributes
     ----------
     tps : float
-        Tokens asked for per second, on average.
+        Tokens requested per second, on average.
     shares : tuple of float
-        Part of the requests of each workspace.
-    who : str
-        Beginning of the workspaces' names.
+        Share of the requests for each workspace.
+    id_prefix : str
+        Prefix of the request ids.
+    workspace_prefix : str
+        Prefix of the workspaces' names.
     """
 
     tps: float
@@ -38,27 +40,29 @@
     deadline_s: float = 40.0
     shares: tuple[float, ...] = (0.1,) * 10
     prompt_tokens: int = 40
-    name: str = "r"
-    who: str = "workspace"
+    id_prefix: str = "r"
+    workspace_prefix: str = "workspace"
 
 
-def draw(pattern: Pattern, seed: int) -> list[Ask]:
+def draw(pattern: Pattern, seed: int) -> list[LoadRequest]:
     """Return the requests of a pattern, in order of arrival."""
-    chance = random.Random(seed)
-    asks = []
+    rng = random.Random(seed)
+    requests = []
     now = pattern.from_s
     per_second = pattern.tps / pattern.mean_tokens
-    names = [f"{pattern.who}-{index}" for index in range(len(pattern.shares))]
+    names = [
+        f"{pattern.workspace_prefix}-{index}" for index in range(len(pattern.shares))
+    ]
     while True:
-        now += chance.expovariate(per_second)
+        now += rng.expovariate(per_second)
         if now >= pattern.until_s:
-            return asks
-        tokens = max(2, round(pattern.mean_tokens * chance.uniform(0.3, 1.7)))
-        allowed = round(tokens / chance.uniform(0.6, 1.0))
-        workspace = chance.choices(names, pattern.shares)[0]
-        prompt = round(pattern.prompt_tokens * chance.uniform(0.5, 1.5))
+            return requests
+        tokens = max(2, round(pattern.mean_tokens * rng.uniform(0.3, 1.7)))
+        max_tokens = round(tokens / rng.uniform(0.6, 1.0))
+        workspace = rng.choices(names, pattern.shares)[0]
+        prompt = round(pattern.prompt_tokens * rng.uniform(0.5, 1.5))
         work = Work(
-            f"{pattern.name}-{len(asks)}",
+            f"{pattern.id_prefix}-{len(requests)}",
             workspace,
             MODEL,
             TargetKind.ENGINE,
@@ -66,6 +70,6 @@
             now,
             now + pattern.deadline_s,
             prompt,
-            allowed,
+            max_tokens,
         )
-        asks.append(Ask(work, tokens))
+        requests.append(LoadRequest(work, tokens))
--- a/bench/_report.py
+++ b/bench/_report.py
@@ -1,4 +1,4 @@
-"""Keeps results as JSON and draws them as one plot."""
+"""Saves results as JSON and draws them as one plot."""
 
 from collections.abc import Sequence
 from pathlib import Path
@@ -10,7 +10,7 @@
 RESULTS = Path(__file__).parent / "results"
 
 
-def keep(result: Result) -> None:
+def save(result: Result) -> None:
     """Write a scenario's figures to bench/results."""
     RESULTS.mkdir(exist_ok=True)
     content = msgspec.json.encode(result)
@@ -18,15 +18,15 @@
     (RESULTS / f"{result.name}.json").write_bytes(formatted + b"\n")
 
 
-def kept() -> list[Result]:
-    """Return all results that were kept."""
+def load_saved() -> list[Result]:
+    """Return all saved results."""
     files = sorted(RESULTS.glob("*.json"))
     return [msgspec.json.decode(f.read_bytes(), type=Result) for f in files]
 
 
 def draw(results: Sequence[Result]) -> None:
-    """Draw every scenario's policies beside its aim."""
-    # Imported here: the plot is the only thing that needs it.
+    """Draw the policies of every scenario and the aim as a dashed line."""
+    # Imported here because only the plot needs it.
     import matplotlib
 
     matplotlib.use("Agg")
--- a/bench/_runs.py
+++ b/bench/_runs.py
@@ -1,4 +1,4 @@
-"""Runs of one policy on one fleet, and the figures taken from them."""
+"""Runs one policy on one fleet and computes figures from the records."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
@@ -38,9 +38,9 @@
     by_policy : dict
         The same figure for every policy of the run.
     aim : float
-        What the figure is held against.
+        The value that the figure should reach.
     higher_is_better : bool
-        Which way the figure improves.
+        Whether a higher figure is better.
     details : dict
         Further figures by name.
     """
@@ -54,14 +54,14 @@
 
     @property
     def baseline(self) -> float | None:
-        """Return the best baseline's figure, if the scenario has any."""
+        """Return the best baseline's figure, or None without baselines."""
         others = [v for name, v in self.by_policy.items() if name != OURS]
         if not others:
             return None
         return max(others) if self.higher_is_better else min(others)
 
     def line(self) -> str:
-        """Return the scenario's line."""
+        """Return the scenario's line of output."""
         more = "".join(f" {name}={value:.4g}" for name, value in self.details.items())
         baseline = "none" if self.baseline is None else f"{self.baseline:.4g}"
         return (
@@ -76,12 +76,12 @@
 
 
 def new_world(targets: Sequence[Target], links: Sequence[Link], policy: str) -> World:
-    """Return a run with nine entry hosts."""
+    """Return a simulation with nine entry hosts."""
     return World(targets, links, HOST_ZONES, POLICIES[policy], SEED)
 
 
 def goodput(records: Sequence[Record], from_s: float, until_s: float) -> float:
-    """Return tokens per second of answers that ended on time in a window."""
+    """Return tokens per second of answers that finished on time in a window."""
     tokens = sum(
         record.tokens
         for record in records
@@ -95,14 +95,14 @@
     return [r for r in records if r.attempts and r.outcome != "open"]
 
 
-def part_on_time(records: Sequence[Record]) -> float:
-    """Return the part of requests that finished on time."""
+def share_on_time(records: Sequence[Record]) -> float:
+    """Return the share of requests that finished on time."""
     return sum(r.on_time for r in records) / max(1, len(records))
 
 
-def percentile(values: Sequence[float], part: float) -> float:
-    """Return the value that a part of the values do not exceed."""
+def percentile(values: Sequence[float], fraction: float) -> float:
+    """Return the value at a fraction, from 0 to 1, of the sorted values."""
     ordered = sorted(values)
     if not ordered:
         return float("nan")
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
--- a/bench/_stage_driving.py
+++ b/bench/_stage_driving.py
@@ -1,8 +1,8 @@
-"""The two ways to pass a token through its stages, seen from the entry host.
+"""Compares two ways to send a token through its stages from the entry host.
 
-Handed on: the entry host opens a stream at the first stage, and the stages call
-each other along the route.  Entry-driven: the entry host calls each stage for
-each token, and the hidden state crosses it each time.
+Handed-on: the entry host opens a stream at the first stage, and each stage forwards
+to the next one along the route.  Entry-driven: the entry host calls each stage for
+each token, and the hidden state passes through the entry host each time.
 """
 
 import subprocess
@@ -34,12 +34,12 @@
 STAGES = ((0, 4), (4, 8), (8, 12), (12, 16))
 LAYERS = 16
 CALLERS = 8
-START_TRIES = 200
+START_ATTEMPTS = 200
 
 
 @dataclass(slots=True, frozen=True)
 class Sample:
-    """CPU of the entry host's side, and how long a token took."""
+    """CPU time of the entry host's side and time per token for a caller."""
 
     requests: int
     tokens: int
@@ -48,7 +48,7 @@
 
 
 class EngineProcesses:
-    """Engine stand-ins as processes, ended by their ids."""
+    """Engine stand-ins, each in its own process."""
 
     __slots__ = ("targets", "route", "_processes")
 
@@ -77,25 +77,25 @@
         """Wait until every engine answers."""
         targets = EngineTargets()
         for target in self.targets:
-            for _ in range(START_TRIES):
+            for _ in range(START_ATTEMPTS):
                 if (await targets.load(target)).is_ok():
                     break
                 await trio.sleep(0.05)
             else:
-                raise SystemExit(f"{target.id} did not start")
+                raise SystemExit(f"engine {target.id} did not start")
 
     def stop(self) -> None:
-        """End every process that was started, by its id."""
+        """Terminate every process that was started, by its id."""
         for process in self._processes:
             process.terminate()
         for process in self._processes:
             process.wait(timeout=20)
 
 
-async def hand_on(
+async def run_handed_on(
     targets: EngineTargets, engines: EngineProcesses, name: str, count: int
 ) -> None:
-    """Run one request with stages that hand on."""
+    """Run one request with stages that forward to each other."""
     state = PipelineState(name, count)
     state.start_attempt(1, engines.route)
     start = StreamStart(name, 1, engines.route, PROMPT, (), count, 60.0)
@@ -104,13 +104,13 @@
             match await opened.ok.next_token():
                 case Result(tag="ok", ok=token):
                     if state.commit(token).is_error():
-                        raise SystemExit("a receipt was refused")
+                        raise SystemExit("a token's receipt was rejected")
                 case Result(error=problem):
                     raise SystemExit(str(problem))
     _check(state, count)
 
 
-async def drive_each(
+async def run_entry_driven(
     pool: httpcore.AsyncConnectionPool,
     engines: EngineProcesses,
     name: str,
@@ -125,12 +125,12 @@
         step = Step(name, 1, position, 0, engines.route, hidden, hand_on=False)
         step = replace(step, is_first=position == 0, is_last=position + 1 == count)
         for stage in engines.route.stages:
-            answer = await pool.request(
+            response = await pool.request(
                 "POST",
                 f"http://{stage.address}{STEP_PATH}",
                 content=msgspec.json.encode(step),
             )
-            step = msgspec.json.decode(answer.content, type=Step)
+            step = msgspec.json.decode(response.content, type=Step)
         receipt = Receipt(name, 1, position, step.hops)
         state.commit(Token(position, word_of(step.hidden), receipt))
     _check(state, count)
@@ -139,12 +139,12 @@
 async def measure(
     run, label: str, requests: int, count: int, callers: int = CALLERS
 ) -> Sample:
-    """Run requests of one length from a few callers at once."""
-    waits = iter(range(requests))
+    """Run requests of one length from concurrent callers."""
+    numbers = iter(range(requests))
     cpu_before, started = time.process_time(), time.monotonic()
 
     async def caller() -> None:
-        for number in waits:
+        for number in numbers:
             await run(f"{label}-{count}-{number}", count)
 
     async with trio.open_nursery() as nursery:
@@ -158,4 +158,4 @@
 
 def _check(state: PipelineState, count: int) -> None:
     if state.committed != expected_words("small", PROMPT, LAYERS, count):
-        raise SystemExit("the answer is not the expected one")
+        raise SystemExit("the committed tokens differ from the expected answer")
--- a/bench/_token_feed.py
+++ b/bench/_token_feed.py
@@ -1,8 +1,8 @@
-"""The cost of a token by how many tokens arrive in one chunk.
+"""Measures the cost of a token by the number of tokens per HTTP chunk.
 
-A process of its own sends ready-made token lines as an HTTP stream, several
-tokens a chunk and a pause after each chunk, as an engine that steps does; the
-measuring process reads, checks and commits them.
+A separate process sends prepared token lines as an HTTP stream, with several
+tokens per chunk and a pause after each chunk, as an engine does between steps.
+The measuring process reads, checks and commits them.
 """
 
 import time
@@ -38,7 +38,7 @@
 
 
 def token_lines(count: int) -> list[bytes]:
-    """Return the lines of a whole answer to request ``r``."""
+    """Return the lines of a complete answer to request ``r``."""
     hops = tuple(Hop(stage.target_id, stage.layers) for stage in ROUTE.stages)
     return [
         msgspec.json.encode(
@@ -79,7 +79,7 @@
 
 
 async def read_answer(targets: EngineTargets, port: int, batched: bool) -> None:
-    """Read one answer to its end."""
+    """Read, check and commit one complete answer."""
     state = PipelineState("r")
     state.start_attempt(1, ROUTE)
     target = Target("e", "e", "z", f"127.0.0.1:{port}")
@@ -90,16 +90,16 @@
             if batched:
                 tokens = (await stream.next_tokens()).ok
                 if state.commit_batch(tokens).problem:
-                    raise SystemExit("a receipt was refused")
+                    raise SystemExit("a token's receipt was rejected")
                 continue
             match await stream.next_token():
                 case Result(tag="ok", ok=token):
                     if state.commit(token).is_error():
-                        raise SystemExit("a receipt was refused")
+                        raise SystemExit("a token's receipt was rejected")
 
 
 def cpu_per_answer(port: int, answers: int, callers: int, batched: bool) -> float:
-    """Return the reading side's CPU seconds for one answer."""
+    """Return the reading process' CPU seconds per answer."""
 
     async def main() -> None:
         targets = EngineTargets()
--- a/bench/entry_host.py
+++ b/bench/entry_host.py
@@ -1,9 +1,9 @@
-"""What one entry host costs: CPU per request and per token, and its memory.
+"""Measures an entry host's CPU time per request and per token, and its memory.
 
 Run with ``python -m bench.entry_host``.  It starts a small fleet, sends bounded
 load over loopback at two answer lengths, and reads the entry host's CPU time
-from the kernel.  The difference of the two lengths gives the cost of a token,
-the remainder the cost of a request.
+from the kernel.  The difference between the two lengths gives the cost of a
+token, and the remainder gives the cost of a request.
 """
 
 import os
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Sample:
-    """What one run of requests of one length cost the entry host."""
+    """CPU and wall time of one run with requests of one length."""
 
     requests: int
     tokens: int
@@ -50,7 +50,7 @@
 
 
 async def run_load(port: int, tokens: int, requests: int) -> int:
-    """Send the requests from a few callers; return how many did not finish."""
+    """Send the requests from concurrent callers; return how many did not finish."""
     body = {
         "model": "review",
         "stream": True,
@@ -60,14 +60,14 @@
     content = msgspec.json.encode(body)
     url = f"http://127.0.0.1:{port}/v1/chat/completions"
     failed = 0
-    left = requests
+    remaining = requests
 
     async def caller(pool):
-        nonlocal failed, left
-        while left > 0:
-            left -= 1
-            answer = await pool.request("POST", url, content=content)
-            if not answer.content.endswith(b"data: [DONE]\n\n"):
+        nonlocal failed, remaining
+        while remaining > 0:
+            remaining -= 1
+            response = await pool.request("POST", url, content=content)
+            if not response.content.endswith(b"data: [DONE]\n\n"):
                 failed += 1
 
     async with httpcore.AsyncConnectionPool(max_connections=CALLERS) as pool:
@@ -78,17 +78,17 @@
 
 
 def idle_share(process_id: int) -> float:
-    """Return the part of a core that the entry host takes without any request."""
+    """Return the share of a core that the entry host uses without requests."""
     cpu_before = cpu_seconds(process_id)
     time.sleep(IDLE_S)
     return (cpu_seconds(process_id) - cpu_before) / IDLE_S
 
 
-def measure(fleet: SmallFleet, tokens: int, requests: int, idle: float) -> Sample:
+def measure(fleet: SmallFleet, tokens: int, requests: int, idle_cores: float) -> Sample:
     """Run the load against the fleet's first entry host.
 
-    What the control plane takes in the same time, ``idle`` of a core, is not
-    counted: it does not grow with the load.
+    The control plane's use of ``idle_cores`` of a core during the run is subtracted,
+    because it does not grow with the load.
     """
     process_id = fleet.entry_process_ids[0]
     cpu_before = cpu_seconds(process_id)
@@ -97,7 +97,7 @@
     if failed:
         raise SystemExit(f"{failed} of {requests} requests did not finish")
     wall_s = time.monotonic() - started
-    cpu_s = cpu_seconds(process_id) - cpu_before - idle * wall_s
+    cpu_s = cpu_seconds(process_id) - cpu_before - idle_cores * wall_s
     return Sample(requests, requests * tokens, cpu_s, wall_s)
 
 
@@ -110,10 +110,10 @@
             fleet.start()
             process_id = fleet.entry_process_ids[0]
             idle_mb = resident_mb(process_id)
-            idle = idle_share(process_id)
-            measure(fleet, SHORT_TOKENS, REQUESTS // 4, idle)
-            short = measure(fleet, SHORT_TOKENS, REQUESTS, idle)
-            long = measure(fleet, LONG_TOKENS, REQUESTS, idle)
+            idle_cores = idle_share(process_id)
+            measure(fleet, SHORT_TOKENS, REQUESTS // 4, idle_cores)
+            short = measure(fleet, SHORT_TOKENS, REQUESTS, idle_cores)
+            long = measure(fleet, LONG_TOKENS, REQUESTS, idle_cores)
             loaded_mb = resident_mb(process_id)
         finally:
             fleet.stop()
@@ -122,7 +122,7 @@
     click.echo(
         f"slope entry_host token_us={token_s * 1e6:.0f} "
         f"request_us={request_s * 1e6:.0f} "
-        f"idle_core={idle:.3f} idle_mb={idle_mb:.1f} loaded_mb={loaded_mb:.1f} "
+        f"idle_core={idle_cores:.3f} idle_mb={idle_mb:.1f} loaded_mb={loaded_mb:.1f} "
         f"tokens_per_s={long.tokens / long.wall_s:.0f} callers={CALLERS}"
     )
 
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -1,9 +1,9 @@
-"""Where answers in time are lost: ``python -m bench.losses LOG... [--by second]``.
+"""Counts causes of late answers: ``python -m bench.losses LOG... [--by second]``.
 
-Reads the log lines of all hosts of one play, as printed with ``--log all`` (simulated
-time, host, line), and names one cause for each request that did not come in time.
-A request that came back after a refusal has a new id; it is told from a first try by
-its deadline, which is shorter than the longest that its route was seen with.
+Reads the log lines of all hosts of one simulation, as printed with ``--log all``
+(simulated time, host, line), and assigns one cause to each request that was not
+answered in time.  A request that is retried after a refusal has a new id.  It is
+recognised by its deadline, which is shorter than the longest logged for its route.
 """
 
 import json
@@ -18,11 +18,11 @@
 from radishfield.core import ResultCode
 
 _LINE = re.compile(r"\s*(-?\d+\.\d+) (\S+) (\{.*\})$")
-RETURN_SHARE = 0.8
-"""A deadline under this part of its route's longest is a return's: first tries differ
-by up to a sixth.  A return after a second or two is not told apart."""
+RETRY_DEADLINE_SHARE = 0.8
+"""A deadline below this share of its route's longest one marks a retry: deadlines of
+first attempts differ by up to a sixth.  A retry after 1 or 2 s is not detected."""
 IN_TIME = "in time"
-BY_PROBLEM = {
+CAUSE_BY_CODE = {
     ResultCode.PROFILES_UNKNOWN: "refused: keys stale",
     ResultCode.DEADLINE_UNREACHABLE: "refused: full",
     ResultCode.EXPIRED_IN_QUEUE: "refused: waited to its deadline",
@@ -35,13 +35,13 @@
     ResultCode.TARGET_ERROR: "failed by the target",
     ResultCode.DEADLINE_PASSED: "failed: timeout",
 }
-NOT_OWED = (ResultCode.UNKNOWN_ROUTE, ResultCode.UNAUTHORIZED, ResultCode.CANCELLED)
-SPANS = ("second", "route", "zone")
+NOT_COUNTED = (ResultCode.UNKNOWN_ROUTE, ResultCode.UNAUTHORIZED, ResultCode.CANCELLED)
+GROUPINGS = ("second", "route", "zone")
 
 
 @dataclass(slots=True, frozen=True)
 class LogLine:
-    """One line of a host's log, with the play's own time in seconds."""
+    """One line of a host's log; `at_s` is simulated time in seconds."""
 
     at_s: float
     host: str
@@ -49,8 +49,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ended:
-    """One request's end, as its host logged it."""
+class EndedRequest:
+    """A request that ended, and the cause derived from its host's log."""
 
     arrived_s: float
     host: str
@@ -60,7 +60,7 @@
 
 
 def read_lines(text: Iterable[str]) -> Iterator[LogLine]:
-    """Yield the log lines among what a play printed."""
+    """Yield the log lines in the output of a simulation."""
     for row in text:
         found = _LINE.match(row)
         if found is None:
@@ -68,33 +68,33 @@
         try:
             fields = json.loads(found[3])
         except json.JSONDecodeError:
-            # A process that was killed may leave half a line.
+            # A killed process may leave a truncated line.
             continue
         yield LogLine(float(found[1]), found[2], fields)
 
 
-def ends(lines: Iterable[LogLine]) -> list[Ended]:
-    """Return every request that is worth something, with its cause."""
+def ended_requests(lines: Iterable[LogLine]) -> list[EndedRequest]:
+    """Return every request that counts, with its cause."""
     found: list[tuple[LogLine, float]] = []
     open_by_id: dict[str, LogLine] = {}
-    longest_by_route: dict[str, float] = {}
+    longest_deadline_by_route: dict[str, float] = {}
     zone_by_host: dict[str, str] = {}
     for line in lines:
         fields = line.fields
         match fields.get("event"):
             case "host.starting":
                 zone_by_host[line.host] = fields.get("zone", "")
-                _drop_host(open_by_id, line.host, found)
+                _add_open_streams(open_by_id, line.host, found)
             case "attempt.sent":
                 open_by_id.setdefault(fields["request"], line)
             case "request.ended":
                 open_by_id.pop(fields["request"], None)
                 found.append((line, line.at_s - fields["seconds"]))
                 route, deadline_s = fields.get("route", ""), fields.get("deadline_s")
-                known = longest_by_route.get(route, 0.0)
-                longest_by_route[route] = max(known, deadline_s or 0.0)
+                known = longest_deadline_by_route.get(route, 0.0)
+                longest_deadline_by_route[route] = max(known, deadline_s or 0.0)
     return [
-        Ended(
+        EndedRequest(
             arrived_s,
             line.host,
             zone_by_host.get(line.host, ""),
@@ -102,43 +102,43 @@
             cause,
         )
         for line, arrived_s in found
-        if (cause := cause_of(line.fields, longest_by_route)) is not None
+        if (cause := cause_of(line.fields, longest_deadline_by_route)) is not None
     ]
 
 
-def _drop_host(
+def _add_open_streams(
     open_by_id: dict[str, LogLine], host: str, found: list[tuple[LogLine, float]]
 ) -> None:
-    """Count the streams that a host's earlier process took with it."""
+    """Add the streams that were open when a host's earlier process ended."""
     for request_id, line in list(open_by_id.items()):
         if line.host == host:
             del open_by_id[request_id]
             found.append((line, line.at_s))
 
 
-def cause_of(fields: dict, longest_by_route: dict[str, float]) -> str | None:
-    """Return one cause for a request, or None if it is worth nothing.
+def cause_of(fields: dict, longest_deadline_by_route: dict[str, float]) -> str | None:
+    """Return one cause for a request, or None if it does not count.
 
-    What is lost to a return is put down to the refusal that came before it: a
-    request that comes back is late however fast it is served then.
+    A retry is attributed to the refusal before it, because a retried request is late
+    however fast it is then served.
     """
     if fields["event"] == "attempt.sent":
         return "host gone"
     code = fields["code"]
-    if code in NOT_OWED or not fields.get("route"):
-        return None if code != ResultCode.PROFILES_UNKNOWN else BY_PROBLEM[code]
+    if code in NOT_COUNTED or not fields.get("route"):
+        return None if code != ResultCode.PROFILES_UNKNOWN else CAUSE_BY_CODE[code]
     if code != ResultCode.FINISHED:
-        return BY_PROBLEM.get(code, f"code {code}")
+        return CAUSE_BY_CODE.get(code, f"code {code}")
     if "events" not in fields:
         in_time = fields["seconds"] <= fields["objective_s"]
-        late = IN_TIME if in_time else "late: slow answer"
+        cause = IN_TIME if in_time else "late: slow answer"
     else:
-        late = _late_stream(fields)
+        cause = _late_stream(fields)
     deadline_s = fields.get("deadline_s") or 0.0
-    longest_s = longest_by_route.get(fields["route"], 0.0)
-    if late == IN_TIME and deadline_s < longest_s * RETURN_SHARE:
+    longest_s = longest_deadline_by_route.get(fields["route"], 0.0)
+    if cause == IN_TIME and deadline_s < longest_s * RETRY_DEADLINE_SHARE:
         return "late: came back after a refusal"
-    return late
+    return cause
 
 
 def _late_stream(fields: dict) -> str:
@@ -160,8 +160,8 @@
     return IN_TIME
 
 
-def table(rows: Iterable[Ended], span: str, step_s: float) -> list[str]:
-    """Return lines of counts by cause for each second, route or zone."""
+def table(rows: Iterable[EndedRequest], span: str, step_s: float) -> list[str]:
+    """Return a line of counts by cause for each time step, route or zone."""
     counts: dict[object, Counter[str]] = defaultdict(Counter)
     for row in rows:
         match span:
@@ -183,7 +183,9 @@
 
 @click.command()
 @click.argument("logs", nargs=-1, type=click.Path(exists=True, path_type=Path))
-@click.option("--by", "span", type=click.Choice(SPANS), help="Counts for each of it.")
+@click.option(
+    "--by", "span", type=click.Choice(GROUPINGS), help="Counts for each of it."
+)
 @click.option("--step-s", default=2.0, show_default=True, help="Width with --by second")
 def main(logs: tuple[Path, ...], span: str | None, step_s: float) -> None:
     """Print the causes for which requests of each LOG did not come in time.
@@ -193,14 +195,14 @@
     total: Counter[str] = Counter()
     for log in logs:
         with log.open(errors="replace") as text:
-            rows = ends(read_lines(text))
+            rows = ended_requests(read_lines(text))
         total.update(row.cause for row in rows)
         if span:
             click.echo(log.name)
             click.echo("\n".join(table(rows, span, step_s)))
-    asked = sum(total.values())
+    request_count = sum(total.values())
     for cause, count in total.most_common():
-        click.echo(f"{count:6} {count / max(1, asked):6.1%} {cause}")
+        click.echo(f"{count:6} {count / max(1, request_count):6.1%} {cause}")
 
 
 if __name__ == "__main__":
--- a/bench/losses_test.py
+++ b/bench/losses_test.py
@@ -1,11 +1,11 @@
-"""Each request that was not in time gets one cause, from what hosts logged of it."""
+"""Tests that each late request gets one cause from the hosts' log lines."""
 
 import json
 from collections import Counter
 
 import pytest
 
-from bench.losses import ends, read_lines, table
+from bench.losses import ended_requests, read_lines, table
 
 STREAM = {
     "event": "request.ended",
@@ -30,7 +30,7 @@
 
 
 def causes(*fields):
-    return [row.cause for row in ends(read_lines(log(*fields)))]
+    return [row.cause for row in ended_requests(read_lines(log(*fields)))]
 
 
 @pytest.mark.parametrize(
@@ -51,33 +51,33 @@
         ({"code": 4014}, "failed: target lost, no try left"),
     ],
 )
-def test_a_stream_has_the_cause_that_its_line_shows(changes, cause):
+def test_stream_gets_the_cause_that_its_log_line_shows(changes, cause):
     assert causes(STREAM | {"request": "r1"} | changes) == [cause]
 
 
-def test_a_request_that_returned_is_late_however_fast_it_was_served():
+def test_retry_after_refusal_is_late_even_if_served_in_time():
     first = STREAM | {"request": "r1"}
     again = STREAM | {"request": "r2", "deadline_s": 14.0}
     assert causes(first, again) == ["in time", "late: came back after a refusal"]
 
 
-def test_streams_that_a_killed_host_took_along_are_counted():
-    """A host is killed with a stream in flight, and starts again.
+def test_open_streams_of_a_killed_host_are_counted():
+    """A host is killed with a stream in flight, and restarts.
 
-    Nothing logs the end of that stream; only its sending shows that it was there.
+    The end of the stream is not logged; only its ``attempt.sent`` line shows it.
     """
     sent = {"event": "attempt.sent", "request": "r1", "path": "t=0-80"}
     assert causes(sent, {"event": "host.starting", "zone": "a"}) == ["host gone"]
 
 
-def test_what_callers_did_wrong_and_half_lines_do_not_count():
+def test_caller_errors_and_truncated_lines_are_not_counted():
     unknown = STREAM | {"request": "r1", "code": 7005}
     rows = [*log(unknown), '    3.0 edge-1 {"event": "request.en', "a table's row"]
-    assert ends(read_lines(rows)) == []
+    assert ended_requests(read_lines(rows)) == []
 
 
 def test_counts_are_given_by_second_route_and_zone():
-    rows = ends(read_lines(log(STREAM | {"request": "r1"})))
+    rows = ended_requests(read_lines(log(STREAM | {"request": "r1"})))
     assert Counter(row.cause for row in rows) == {"in time": 1}
     for span in ("second", "route", "zone"):
         (line,) = table(rows, span, 2.0)
--- a/bench/router_load.py
+++ b/bench/router_load.py
@@ -1,10 +1,10 @@
-"""Load on a real router process: ``python -m bench.router_load --pattern burst``.
+"""Puts load on a real router process: ``python -m bench.router_load --pattern burst``.
 
-One router serves callers before stand-ins of the store and of both kinds of target.
-The pattern's requests are sent when they are due, whatever the earlier ones do; a
-caller that is told when to come back comes back once, as the users' do.  Printed are
-the shares in time, late, refused and failed by kind of request and by workspace, and
-with ``--plot`` the same by second.
+One router serves callers in front of stand-ins of the store and of both kinds of
+target.  Requests are sent when they are due, regardless of earlier ones.  A caller
+that receives a Retry-After retries once, as the users' callers do.  Prints the shares
+in time, late, refused and failed by kind of request and by workspace; ``--plot``
+draws them by second.
 """
 
 import random
@@ -26,13 +26,13 @@
 
 WORKSPACES = 5
 OBJECTIVE_S = 0.5
-"""As the users' streams: to the first event; lookups have the same here."""
+"""Time to the first event, as in the users' streams; also applied to lookups here."""
 LONGEST_GAP_S = 0.2
 DEADLINE_S = 6.0
 EVENTS, EVENT_GAP_S = 30, 0.04
-PLACES = 12
-"""Streams that a first target takes: with two of them and 1.2 s a stream, some
-twenty streams a second are as many as can be served."""
+STREAMS_PER_TARGET = 12
+"""Streams that each target of the first stage accepts.  Two such targets and 1.2 s
+per stream give a capacity of about twenty streams a second."""
 BURST_FACTOR = 4.0
 OUTCOMES = ("in time", "late", "refused", "failed")
 
@@ -48,16 +48,16 @@
 
 @dataclass(slots=True)
 class Tally:
-    """What became of requests."""
+    """Outcomes and times of a group of requests."""
 
     outcomes: Counter[str] = field(default_factory=Counter)
     seconds: list[float] = field(default_factory=list)
 
 
 def arrivals(
-    pattern: str, per_s: float, length_s: float, chance: random.Random
+    pattern: str, per_s: float, length_s: float, rng: random.Random
 ) -> list[Arrival]:
-    """Return a pattern's requests in order of time.
+    """Return the requests of a pattern in order of arrival.
 
     ``steady`` spreads them evenly, ``burst`` sends four times as many in the middle
     fifth, ``heavy`` gives one workspace four fifths of them.
@@ -67,17 +67,17 @@
     while at_s < length_s:
         middle = 0.4 * length_s <= at_s < 0.6 * length_s
         factor = BURST_FACTOR if pattern == "burst" and middle else 1.0
-        at_s += chance.expovariate(per_s * factor)
-        kind = chance.choices(["stream", "read", "post"], [8, 1, 1])[0]
-        workspace = chance.randrange(WORKSPACES)
-        if pattern == "heavy" and chance.random() < 0.8:
+        at_s += rng.expovariate(per_s * factor)
+        kind = rng.choices(["stream", "read", "post"], [8, 1, 1])[0]
+        workspace = rng.randrange(WORKSPACES)
+        if pattern == "heavy" and rng.random() < 0.8:
             workspace = 0
         due.append(Arrival(at_s, kind, workspace))
     return due
 
 
-class Play:
-    """One pattern against one router."""
+class LoadRun:
+    """One run of a load pattern against one router."""
 
     def __init__(self, due: list[Arrival]):
         self.tally_by_kind: dict[str, Tally] = defaultdict(Tally)
@@ -87,17 +87,17 @@
         self._sent = 0
 
     async def run(self, folder: Path) -> None:
-        """Start everything, send what is due, and end everything."""
+        """Start the router and stand-ins, send the requests, and stop everything."""
         async with trio.open_nursery() as nursery:
             store = await self._build(nursery)
             router = RouterProcess(0, folder, free_ports(3), store)
             router.start()
             try:
-                await self._until_ready(router.front)
-                began = trio.current_time()
+                await self._wait_until_ready(router.front)
+                started = trio.current_time()
                 async with trio.open_nursery() as callers:
                     for arrival in self._due:
-                        await trio.sleep_until(began + arrival.at_s)
+                        await trio.sleep_until(started + arrival.at_s)
                         callers.start_soon(self._send, router.front, arrival)
             finally:
                 router.end()
@@ -123,7 +123,7 @@
                 end=end,
                 events=EVENTS,
                 gap_s=EVENT_GAP_S,
-                places=PLACES,
+                places=STREAMS_PER_TARGET,
             )
             target.address = await self._serve(nursery, target)
             fleet.add(target)
@@ -136,7 +136,7 @@
         (url,) = await nursery.start(serve_app, app, listener, None)
         return url.removeprefix("http://")
 
-    async def _until_ready(self, front: str) -> None:
+    async def _wait_until_ready(self, front: str) -> None:
         with trio.fail_after(20.0):
             while (await self._try(front, Arrival(0.0, "read", 0), "warm"))[0] != 200:
                 await trio.sleep(0.1)
@@ -144,7 +144,7 @@
     async def _send(self, front: str, arrival: Arrival) -> None:
         self._sent += 1
         name = f"{arrival.kind}-{self._sent}"
-        began = trio.current_time()
+        started = trio.current_time()
         status, in_time, retry_s = await self._try(front, arrival, name)
         if status == 503 and retry_s is not None:
             await trio.sleep(min(retry_s, DEADLINE_S / 3))
@@ -155,12 +155,12 @@
             outcome = "in time" if in_time else "late"
         elif status == 503:
             outcome = "refused"
-        self._count(arrival, outcome, trio.current_time() - began)
+        self._count(arrival, outcome, trio.current_time() - started)
 
     async def _try(
         self, front: str, arrival: Arrival, name: str
     ) -> tuple[int, bool, float | None]:
-        """Return the status (0 if broken off), whether in time, and Retry-After."""
+        """Return the status (0 if aborted), whether in time, and Retry-After."""
         headers = request_headers(name, f"key-{arrival.workspace}", DEADLINE_S)
         headers["x-token-counts"] = "774,203"
         method = "GET" if arrival.kind == "read" else "POST"
@@ -174,13 +174,13 @@
                         f"http://{front}/{arrival.kind}/x",
                         headers=headers,
                         content=None if method == "GET" else b"{}",
-                    ) as answer:
-                        async for _ in answer.aiter_stream():
+                    ) as response:
+                        async for _ in response.aiter_stream():
                             now = trio.current_time()
                             in_time = in_time and now - last <= limit_s
                             last, limit_s = now, LONGEST_GAP_S
-                        retry = dict(answer.headers).get(b"retry-after")
-                        return answer.status, in_time, float(retry) if retry else None
+                        retry = dict(response.headers).get(b"retry-after")
+                        return response.status, in_time, float(retry) if retry else None
         except (httpcore.NetworkError, httpcore.ProtocolError, trio.TooSlowError):
             return 0, False, None
 
@@ -195,20 +195,20 @@
 
 
 def table(tally_by_name: dict[str, Tally]) -> str:
-    """Return shares and times, a line each."""
+    """Return a line of outcome shares and median time for each name."""
     lines = [f"{'':10}{'asked':>7}" + "".join(f"{name:>9}" for name in OUTCOMES)]
     for name, tally in sorted(tally_by_name.items()):
-        asked = sum(tally.outcomes.values())
-        shares = [tally.outcomes[outcome] / asked for outcome in OUTCOMES]
+        request_count = sum(tally.outcomes.values())
+        shares = [tally.outcomes[outcome] / request_count for outcome in OUTCOMES]
         cells = "".join(f"{share:>9.3f}" for share in shares)
-        p50 = sorted(tally.seconds)[asked // 2]
-        lines.append(f"{name:10}{asked:>7}{cells}   p50 {p50:.2f} s")
+        p50 = sorted(tally.seconds)[request_count // 2]
+        lines.append(f"{name:10}{request_count:>7}{cells}   p50 {p50:.2f} s")
     return "\n".join(lines)
 
 
 def draw(outcomes_by_second: dict[int, Counter[str]], path: str) -> None:
     """Draw the outcomes by the second in which requests were due."""
-    # Imported here: the plot is the only thing that needs it.
+    # Imported here because only the plot needs it.
     import matplotlib
 
     matplotlib.use("Agg")
@@ -243,13 +243,13 @@
 def main(pattern: str, per_s: float, seconds: float, seed: int, plot: str | None):
     """Play a pattern of load and print what callers got."""
     due = arrivals(pattern or "steady", per_s, seconds, random.Random(seed))
-    play = Play(due)
+    load_run = LoadRun(due)
     with tempfile.TemporaryDirectory() as folder:
-        trio.run(play.run, Path(folder))
-    click.echo(table(play.tally_by_kind))
-    click.echo(table(play.tally_by_workspace))
+        trio.run(load_run.run, Path(folder))
+    click.echo(table(load_run.tally_by_kind))
+    click.echo(table(load_run.tally_by_workspace))
     if plot:
-        draw(play.outcomes_by_second, plot)
+        draw(load_run.outcomes_by_second, plot)
 
 
 if __name__ == "__main__":
--- a/bench/slopes_decisions.py
+++ b/bench/slopes_decisions.py
@@ -1,6 +1,6 @@
-"""Slopes of the decisions' cost: ``python -m bench.slopes_decisions``.
+"""Measures how decision costs grow: ``python -m bench.slopes_decisions``.
 
-One line for each size; docs/CAPACITY.md works the target size out from them.
+Prints one line per size; docs/CAPACITY.md derives the target fleet size from them.
 """
 
 from bench._cost import decision_us, queue_bytes
--- a/bench/slopes_fleet.py
+++ b/bench/slopes_fleet.py
@@ -1,9 +1,9 @@
-"""Slopes of the fleet's control plane, one line per figure.
+"""Measures how control plane costs grow with the fleet, one line per figure.
 
-``python -m bench.slopes_fleet NAME`` prints a figure with the command that gave
+``python -m bench.slopes_fleet NAME`` prints a figure with the command that produced
 it.  ``virtual`` figures run the real services of all hosts in one process over
-an in-memory network in trio's virtual time (half a millisecond one way); CPU
-is the process's own, shared out over hosts, the in-memory network included.
+an in-memory network in trio's virtual time (half a millisecond one way).  Their CPU
+time is that of the process divided by the hosts, including the in-memory network.
 ``real`` figures use UDP and TCP sockets on loopback and the wall clock.
 """
 
@@ -36,11 +36,11 @@
 UDP_IP_BYTES = 28
 TARGETS_PER_HOST = 6.5
 HOSTS_PER_ZONE = 20
-"""Of the target size: 340 hosts and 2,200 targets in 17 zones."""
+"""At the target fleet size: 340 hosts and 2,200 targets in 17 zones."""
 
 
-def say(name: str, figure: str, mode: str, command: str) -> None:
-    """Print one figure with what gave it."""
+def print_figure(name: str, figure: str, mode: str, command: str) -> None:
+    """Print one figure with the command that produced it."""
     click.echo(f"{name} | {figure} | {mode} | python -m bench.slopes_fleet {command}")
 
 
@@ -55,12 +55,12 @@
     trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def zones_of(hosts: int) -> int:
-    """Return three zones as today, and 20 hosts a zone at the target size."""
+def zone_count(hosts: int) -> int:
+    """Return at least three zones, and one per 20 hosts as at the target fleet size."""
     return max(3, hosts // HOSTS_PER_ZONE)
 
 
-def engine(number: int, zone: str) -> Target:
+def engine_target(number: int, zone: str) -> Target:
     """Return a target as operators declare it."""
     return Target(
         f"{zone}-engine-{number:04}",
@@ -78,10 +78,10 @@
 async def settled_fleet(
     nursery: trio.Nursery, hosts: int, targets: int = 0, zones: int = 0
 ) -> MemoryFleet:
-    """Return a fleet whose hosts all know each other and all targets."""
-    fleet = MemoryFleet(nursery, zones or zones_of(hosts))
+    """Return a fleet in which all hosts have discovered each other and all targets."""
+    fleet = MemoryFleet(nursery, zones or zone_count(hosts))
     for number in range(targets):
-        target = engine(number, f"z{number % fleet.zones}")
+        target = engine_target(number, f"z{number % fleet.zones}")
         value = msgspec.json.encode(target)
         await fleet.platform.as_caller("operator").write("target", target.id, value, 0)
         if number % 200 == 199:
@@ -89,26 +89,26 @@
     await fleet.add(hosts)
     with trio.fail_after(600):
         while not all(
-            len(live_members(a_host)) == hosts
-            and len(a_host.directory.targets()) == targets
-            for a_host in fleet.hosts
+            len(live_members(host)) == hosts
+            and len(host.directory.targets()) == targets
+            for host in fleet.hosts
         ):
             await trio.sleep(1)
     await trio.sleep(40)
     return fleet
 
 
-def live_members(a_host: MemoryHost) -> Sequence[str]:
-    """Return the ids of the members that a host takes for live."""
+def live_members(host: MemoryHost) -> Sequence[str]:
+    """Return the ids of the members that a host does not mark as dead."""
     return [
         member.id
-        for member in a_host.peers.members()
+        for member in host.peers.members()
         if member.state is not MemberState.DEAD
     ]
 
 
 def wire_bytes(fleet: MemoryFleet) -> tuple[int, int]:
-    """Return bytes sent by all hosts with UDP and IP heads, and the datagrams."""
+    """Return bytes sent by all hosts including UDP and IP headers, and datagrams."""
     datagrams = sum(sum(h.peers.frames_sent.values()) for h in fleet.hosts)
     payload = sum(h.peers.bytes_sent + h.peers.streams.bytes_sent for h in fleet.hosts)
     return payload + datagrams * UDP_IP_BYTES, datagrams
@@ -140,7 +140,7 @@
             sent, datagrams = wire_bytes(fleet)
             per_host = hosts * seconds
             exchanges = sum(h.spreader.exchanges for h in fleet.hosts)
-            say(
+            print_figure(
                 f"peers: {hosts} hosts, {targets} targets",
                 f"{(sent - bytes_before) / per_host:.0f} B/s sent a host, "
                 f"{(datagrams - datagrams_before) / per_host:.2f} datagrams/s, "
@@ -168,7 +168,7 @@
             before = fleet.platform.calls()
             await trio.sleep(seconds)
             rate = (fleet.platform.calls() - before) / seconds / 3
-            say(
+            print_figure(
                 f"platform: {hosts_a_zone} hosts a zone",
                 f"{rate:.2f} calls/s a zone",
                 "virtual",
@@ -189,24 +189,24 @@
         async def measure(nursery: trio.Nursery, hosts=hosts) -> None:
             fleet = await settled_fleet(nursery, hosts)
             fleet.network.faults.lost_share = lost
-            chance = random.Random(1)
+            rng = random.Random(1)
             delays: list[float] = []
             profile = Profile("review", model="m")
             await fleet.hosts[0].store.publish(profile)
             await trio.sleep(20)
 
-            async def wait(a_host: MemoryHost, version: int, accepted: float) -> None:
-                await a_host.store.wait_version("review", version)
+            async def wait(host: MemoryHost, version: int, accepted: float) -> None:
+                await host.store.wait_version("review", version)
                 delays.append(trio.current_time() - accepted)
 
             for _ in range(changes):
-                changed = await chance.choice(fleet.hosts).store.change(profile)
+                changed = await rng.choice(fleet.hosts).store.change(profile)
                 accepted = trio.current_time()
                 async with trio.open_nursery() as waits:
-                    for a_host in fleet.hosts:
-                        waits.start_soon(wait, a_host, changed.ok.version, accepted)
-                await trio.sleep(chance.uniform(5, 10))
-            say_quantiles(
+                    for host in fleet.hosts:
+                        waits.start_soon(wait, host, changed.ok.version, accepted)
+                await trio.sleep(rng.uniform(5, 10))
+            print_quantiles(
                 f"spread: {hosts} hosts, {changes} changes, {lost:.0%} lost",
                 delays,
                 f"spread {hosts} --changes {changes} --lost {lost}",
@@ -235,13 +235,13 @@
                 waiting = list(fleet.hosts)
                 while waiting:
                     await trio.sleep(0.1)
-                    left = [h for h in waiting if victim.id in live_members(h)]
-                    seen = len(waiting) - len(left)
+                    remaining = [h for h in waiting if victim.id in live_members(h)]
+                    seen = len(waiting) - len(remaining)
                     delays += [trio.current_time() - killed] * seen
-                    waiting = left
+                    waiting = remaining
                 await fleet.add(1)
                 await trio.sleep(20)
-            say_quantiles(
+            print_quantiles(
                 f"detection: {hosts} hosts, {deaths} deaths",
                 delays,
                 f"detection {hosts} --deaths {deaths}",
@@ -263,21 +263,21 @@
             fleet.platform.set_down(without_platform)
             delays: list[float] = []
 
-            async def wait(a_host: MemoryHost, target_id: str, since: float) -> None:
-                directory = a_host.directory
+            async def wait(host: MemoryHost, target_id: str, since: float) -> None:
+                directory = host.directory
                 while directory.find(target_id).state is TargetState.LIVE:
                     await directory.wait_changed(directory.version)
                 delays.append(trio.current_time() - since)
 
             for target in fleet.hosts[0].directory.targets()[:20]:
-                asked = trio.current_time()
+                requested_at = trio.current_time()
                 async with trio.open_nursery() as waits:
-                    for a_host in fleet.hosts:
-                        waits.start_soon(wait, a_host, target.id, asked)
+                    for host in fleet.hosts:
+                        waits.start_soon(wait, host, target.id, requested_at)
                     operations = random.Random(target.id).choice(fleet.hosts).operations
                     await operations.drain(DrainKind.TARGET, target.id)
                 await trio.sleep(3)
-            say_quantiles(
+            print_quantiles(
                 f"drain: {hosts} hosts, 20 drains"
                 + (", platform down" if without_platform else ""),
                 delays,
@@ -295,11 +295,13 @@
     kept = []
     before = tracemalloc.get_traced_memory()[0]
 
-    def note(name: str, what: object) -> None:
+    def print_growth(name: str, state: object) -> None:
         nonlocal before
-        kept.append(what)
+        kept.append(state)
         now = tracemalloc.get_traced_memory()[0]
-        say(f"memory: {name}", f"{(now - before) / 1e6:.2f} MB", "real", "memory")
+        print_figure(
+            f"memory: {name}", f"{(now - before) / 1e6:.2f} MB", "real", "memory"
+        )
         before = now
 
     own = Update("h0", "z0", "10.0.0.1:7000", 1)
@@ -308,18 +310,18 @@
         zone = f"region-{number % 7}-zone-{number % 17}"
         address = f"10.0.{number % 256}.1:7000"
         membership.observe(Update(f"entry-{number:04}", zone, address, number), 0.0)
-    note("membership of 340 hosts", membership)
+    print_growth("membership of 340 hosts", membership)
     facts = FactTable()
     for number in range(500):
         value = msgspec.json.encode(Profile(f"profile-{number}", model="model-of-9"))
         facts.learn(StoredObject("profile", f"profile-{number}", 1, value), False)
-    note("500 profiles as facts", facts)
+    print_growth("500 profiles as facts", facts)
     directory = TargetDirectory("z0", facts, membership, TrioClock())
     for number in range(2_200):
-        target = engine(number, f"region-zone-{number % 17}")
+        target = engine_target(number, f"region-zone-{number % 17}")
         value = msgspec.json.encode(target)
         facts.learn(StoredObject("target", target.id, 1, value), False)
-    note("2,200 targets as facts and in the directory", directory)
+    print_growth("2,200 targets as facts and in the directory", directory)
     tracemalloc.stop()
 
 
@@ -333,7 +335,7 @@
 
 
 async def measure_sockets(hosts: int, seconds: int) -> None:
-    """Run so many peer networks on loopback and print their cost."""
+    """Run `hosts` peer networks on loopback and print their cost."""
     transports = [SocketTransport("127.0.0.1:0") for _ in range(hosts)]
     for transport in transports:
         await transport.open()
@@ -364,7 +366,7 @@
         sent = sum(network.bytes_sent for network in networks) - sent
         nursery.cancel_scope.cancel()
     per_host = hosts * seconds
-    say(
+    print_figure(
         f"sockets: {hosts} hosts",
         f"{sent / per_host:.0f} B/s of payload sent a host, "
         f"{100 * cpu_s / per_host:.2f} % of a core; "
@@ -380,7 +382,7 @@
     """Print the same of a fleet of real processes, at the operators' endpoint."""
     figures = trio.run(measure_processes, hosts_a_zone)
     hosts, command = 3 * hosts_a_zone, f"processes {hosts_a_zone}"
-    say(
+    print_figure(
         f"processes: {hosts} quiet hosts, 12 engines",
         f"{figures.platform_calls_per_s:.2f} platform calls/s a zone, "
         f"{100 * figures.cpu_share:.1f} % of a core a host, "
@@ -393,16 +395,16 @@
         ("drained target left out", figures.drain_s),
         ("killed host held for dead", figures.detection_s),
     ):
-        say_quantiles(f"processes: {hosts} hosts, {name}", delays, command, "real")
+        print_quantiles(f"processes: {hosts} hosts, {name}", delays, command, "real")
 
 
-def say_quantiles(
+def print_quantiles(
     name: str, delays: Sequence[float], command: str, mode: str = "virtual"
 ) -> None:
     """Print the median, the 99th percentile and the longest of some delays."""
     ordered = sorted(delays)
     p99 = ordered[min(len(ordered) - 1, int(len(ordered) * 0.99))]
-    say(
+    print_figure(
         name,
         f"p50 {statistics.median(ordered):.3f} s, p99 {p99:.3f} s, "
         f"longest {ordered[-1]:.3f} s of {len(ordered)}",
--- a/bench/slopes_target.py
+++ b/bench/slopes_target.py
@@ -1,4 +1,4 @@
-"""Slopes of the targets' edge and of idempotency claims, one line a figure.
+"""Measures the costs of target calls and idempotency claims, one line per figure.
 
 ``python -m bench.slopes_target PART`` with one of ``hand-on``, ``chunks``,
 ``claims``, ``polls``, ``memory``.
@@ -17,9 +17,9 @@
     CALLERS,
     EngineProcesses,
     Sample,
-    drive_each,
-    hand_on,
     measure,
+    run_entry_driven,
+    run_handed_on,
 )
 from bench._token_feed import cpu_per_answer
 from radishfield.edges import EngineTargets
@@ -51,23 +51,23 @@
 @click.option("--step-ms", default=1.0)
 def hand_on_command(step_ms):
     """Compare stages that hand on with stages that the entry host calls."""
-    trio.run(_hand_on, step_ms)
+    trio.run(_compare_stage_calls, step_ms)
 
 
-async def _hand_on(step_ms: float) -> None:
+async def _compare_stage_calls(step_ms: float) -> None:
     engines = EngineProcesses(step_ms)
     try:
         await engines.wait_ready()
         targets = EngineTargets()
         pool = httpcore.AsyncConnectionPool(max_connections=64)
 
-        async def handed(name: str, count: int) -> None:
-            await hand_on(targets, engines, name, count)
+        async def handed_on(name: str, count: int) -> None:
+            await run_handed_on(targets, engines, name, count)
 
-        async def driven(name: str, count: int) -> None:
-            await drive_each(pool, engines, name, count)
+        async def entry_driven(name: str, count: int) -> None:
+            await run_entry_driven(pool, engines, name, count)
 
-        for label, run in (("handed-on", handed), ("entry-driven", driven)):
+        for label, run in (("handed-on", handed_on), ("entry-driven", entry_driven)):
             await measure(run, f"{label}-warm", 8, SHORT)
             short = await measure(run, label, REQUESTS, SHORT)
             long = await measure(run, label, REQUESTS, LONG)
@@ -117,7 +117,7 @@
             return
         except httpcore.ConnectError:
             time.sleep(0.05)
-    raise SystemExit("the feed did not start")
+    raise SystemExit("the token feed did not start listening")
 
 
 @main.command()
@@ -145,11 +145,11 @@
     engines = EngineProcesses(1.0)
     try:
         await engines.wait_ready()
-        port = EngineTargets()
-        await port.load(engines.targets[0])
+        engine_targets = EngineTargets()
+        await engine_targets.load(engines.targets[0])
         before = time.process_time()
         for _ in range(POLLS):
-            await port.load(engines.targets[0])
+            await engine_targets.load(engines.targets[0])
         cost_s = (time.process_time() - before) / POLLS
     finally:
         engines.stop()
--- a/conftest.py
+++ b/conftest.py
@@ -1,4 +1,4 @@
-"""Passes over just the tests that KNOWN-RED.txt lists, and prints them."""
+"""Marks only the tests listed in KNOWN-RED.txt as expected failures; prints them."""
 
 from pathlib import Path
 
