--- a/bench/_stage_driving.py
+++ b/bench/_stage_driving.py
@@ -27,7 +27,7 @@
 from radishfield.edges import EngineTargets
 from radishfield.edges._target_wire import STEP_PATH, Step
 from radishfield.pipeline import PipelineState
-from standins.model import expected_words, first_hidden, word_of
+from standins.model import decode_word, expected_words, first_hidden
 from standins.ports import free_port
 
 PROMPT = "Check the delegation note."
@@ -132,7 +132,7 @@
             )
             step = msgspec.json.decode(response.content, type=Step)
         receipt = Receipt(name, 1, position, step.hops)
-        state.commit(Token(position, word_of(step.hidden), receipt))
+        state.commit(Token(position, decode_word(step.hidden), receipt))
     _check(state, count)
 
 
--- a/proofs/_fleet.py
+++ b/proofs/_fleet.py
@@ -125,7 +125,7 @@
         self.partitioned_pairs: set[frozenset[str]] = set()
         self.zones_without_platform: set[str] = set()
         self.disturbed_at = 0.0
-        self.network.faults.is_cut = self._is_partitioned
+        self.network.faults.is_partitioned = self._is_partitioned
         for host in self.seats:
             self.start(host)
         self.loop.pass_time(10.0)
--- a/proofs/_record.py
+++ b/proofs/_record.py
@@ -53,16 +53,16 @@
     open_streams: int = 0
     faults_played: int = 0
 
-    def note_start(self, start: Start) -> None:
+    def record_start(self, start: Start) -> None:
         """Record an attempt that started."""
         self.starts.append(start)
         self.runs_by_request[start.request_id] += 1
 
-    def note_layers(self, token: TokenKey, run: LayersRun) -> None:
+    def record_layers(self, token: TokenKey, run: LayersRun) -> None:
         """Record a stage that ran its layers for a token."""
         self.layers_by_token.setdefault(token, []).append(run)
 
-    def note_call(self, call: ServiceCall) -> None:
+    def record_call(self, call: ServiceCall) -> None:
         """Record a call that a plain service ran."""
         self.calls.append(call)
         self.runs_by_request[call.request_id] += 1
--- a/proofs/_serving.py
+++ b/proofs/_serving.py
@@ -199,7 +199,7 @@
         self.target_by_id[other.id] = replace(other, speed_tps=other.speed_tps + 1)
         self._update_targets()
 
-    def tell_load(self) -> None:
+    def report_loads(self) -> None:
         """Let every reachable target report its load."""
 
         async def ask() -> list[Result]:
--- a/proofs/_soak_plans.py
+++ b/proofs/_soak_plans.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from standins.routed_config import KEY
-from standins.router_process import USUAL_PROMISES
+from standins.router_process import TYPICAL_PROMISES
 
 SECOND_KEY = "second-key-of-w2"
 """A key of callers that is removed and restored."""
@@ -45,7 +45,7 @@
     gap_s: float = 0.02
     deadline_s: float = 5.0
     timeout_ms: float = 4000.0
-    promises: str = USUAL_PROMISES
+    promises: str = TYPICAL_PROMISES
     spares: int = 0
     link_mbps: tuple[float, ...] = field(default=())
 
--- a/proofs/_targets.py
+++ b/proofs/_targets.py
@@ -31,7 +31,7 @@
     Token,
     fault,
 )
-from standins.model import first_hidden, run_layers, word_of
+from standins.model import decode_word, first_hidden, run_layers
 
 STEP_S = 0.01
 # As in the real port, a connection without a byte for this long is silent.
@@ -195,7 +195,7 @@
         refusal = await self._connect(engine)
         if refusal is not None:
             return Error(refusal)
-        self.record.note_call(ServiceCall(request.id, target.id, trio.current_time()))
+        self.record.record_call(ServiceCall(request.id, target.id, trio.current_time()))
         await trio.sleep(engine.step_s)
         if not engine.alive or engine.lost > 0:
             engine.lost = max(0, engine.lost - 1)
@@ -280,7 +280,7 @@
         self._attempts[start.request_id, start.attempt] = attempt
         ids = tuple(stage.target_id for stage in start.route.stages)
         now = trio.current_time()
-        self.record.note_start(Start(start.request_id, start.attempt, ids, now))
+        self.record.record_start(Start(start.request_id, start.attempt, ids, now))
         self._nursery.start_soon(self._run_attempt, attempt)
         return attempt
 
@@ -324,13 +324,13 @@
                 return None
             hidden = run_layers(hidden, stage.layers.first, stage.layers.end)
             hops.append(Hop(stage.target_id, stage.layers))
-            self.record.note_layers(
+            self.record.record_layers(
                 (start.request_id, start.attempt, position),
                 LayersRun(stage.target_id, stage.layers),
             )
         finish = "length" if position + 1 == start.max_tokens else None
         receipt = Receipt(start.request_id, start.attempt, position, tuple(hops))
-        return Token(position, word_of(hidden), receipt, finish)
+        return Token(position, decode_word(hidden), receipt, finish)
 
 
 class _FakeStream:
--- a/proofs/recovery_test.py
+++ b/proofs/recovery_test.py
@@ -111,7 +111,7 @@
     Two targets could run the answer, and neither can be reached meanwhile.
     """
     world = ServingWorld(1, 1, 2)
-    world.tell_load()
+    world.report_loads()
     caller = world.send(True, TOKENS, 60.0, 0.0)
     world.loop.pass_time(0.035)
     for head in world.heads():
--- a/radishfield/core/__init__.py
+++ b/radishfield/core/__init__.py
@@ -12,7 +12,7 @@
     ResultCode,
 )
 from radishfield.core._errors import Fault, fault
-from radishfield.core._lazy import loaded_on_use
+from radishfield.core._lazy import lazy_getattr
 
 _NAMES_BY_MODULE = {
     "radishfield.core._code_help": (
@@ -63,12 +63,12 @@
         "WatchBatch",
     ),
 }
-__getattr__ = loaded_on_use(
+__getattr__ = lazy_getattr(
     {name: module for module, names in _NAMES_BY_MODULE.items() for name in names}
 )
 
 __all__ = [
-    "loaded_on_use",
+    "lazy_getattr",
     "HELP_BY_CODE",
     "OUTCOME_BY_CODE",
     "REFUSAL_CODES",
--- a/radishfield/core/_lazy.py
+++ b/radishfield/core/_lazy.py
@@ -8,7 +8,7 @@
 from importlib import import_module
 
 
-def loaded_on_use(module_by_name: Mapping[str, str]) -> Callable[[str], object]:
+def lazy_getattr(module_by_name: Mapping[str, str]) -> Callable[[str], object]:
     """Return a package's ``__getattr__``.
 
     Parameters
--- a/radishfield/crashes/__init__.py
+++ b/radishfield/crashes/__init__.py
@@ -5,29 +5,29 @@
 """
 
 from radishfield.crashes._book import (
-    OUTLIVED_S,
+    CRASH_WINDOW_S,
     REFUSAL_THRESHOLD,
     REFUSED_S,
     CrashBook,
     CrashReport,
     TargetCrash,
-    ToldEnd,
+    TargetCrashEntry,
     Verdict,
 )
 from radishfield.crashes._digest import request_digest
 from radishfield.crashes._guard import CrashGuard
-from radishfield.crashes._listens import listens
+from radishfield.crashes._listens import is_listening
 
 __all__ = [
-    "OUTLIVED_S",
+    "CRASH_WINDOW_S",
     "REFUSAL_THRESHOLD",
     "REFUSED_S",
     "CrashBook",
     "CrashGuard",
     "CrashReport",
     "TargetCrash",
-    "ToldEnd",
+    "TargetCrashEntry",
     "Verdict",
-    "listens",
+    "is_listening",
     "request_digest",
 ]
--- a/radishfield/crashes/_book.py
+++ b/radishfield/crashes/_book.py
@@ -27,7 +27,7 @@
 SETTLE_S = 0.3
 """Time within which all hosts report the requests that a crashed target was running."""
 
-OUTLIVED_S = 1.0
+CRASH_WINDOW_S = 1.0
 """Time after its first event within which a request crashes its target, if it does.
 Observed crashes took a tenth of it."""
 
@@ -70,7 +70,7 @@
         return (self.target_id, self.started_ms)
 
 
-class ToldEnd(msgspec.Struct, array_like=True):
+class TargetCrashEntry(msgspec.Struct, array_like=True):
     """A crash of a target, as a host reports it ``age_s`` seconds later."""
 
     target_id: str
@@ -90,7 +90,7 @@
     """
 
     digest: str
-    ends: list[ToldEnd] = []
+    ends: list[TargetCrashEntry] = []
     survived_age_s: float = -1.0
 
 
@@ -217,7 +217,7 @@
         return CrashReport(
             digest,
             [
-                ToldEnd(
+                TargetCrashEntry(
                     crash.target_id, crash.started_ms, crash.told_by, now - crash.at
                 )
                 for crash in crashes
@@ -242,7 +242,7 @@
         survived = report.digest in self._survived_at_by_digest
         return survived and bool(report.ends) and report.survived_age_s < 0
 
-    def lasting(self) -> list[str]:
+    def repeated_digests(self) -> list[str]:
         """Return the digests that hosts report repeatedly, most crashes first."""
         digests = [
             digest
@@ -255,7 +255,7 @@
         """Return a checksum, for comparison, of what hosts report repeatedly."""
         if self._checksum is None:
             self._checksum = 0
-            for digest in self.lasting():
+            for digest in self.repeated_digests():
                 for target_id, started_ms in self._crashes_by_digest[digest]:
                     text = f"{digest} {target_id} {started_ms}"
                     self._checksum ^= zlib.crc32(text.encode())
--- a/radishfield/crashes/_guard.py
+++ b/radishfield/crashes/_guard.py
@@ -144,7 +144,7 @@
         self._wake()
         return True
 
-    def outlived(self, digest: str, request_id: str) -> None:
+    def record_survival(self, digest: str, request_id: str) -> None:
         """Record that a target has survived the start of a request."""
         if self.book.add_survival(digest, self._clock.now()):
             log_event("request.cleared", request=request_id, digest=digest)
--- a/radishfield/crashes/_listens.py
+++ b/radishfield/crashes/_listens.py
@@ -11,7 +11,7 @@
 """A host of the region accepts or refuses a connection within milliseconds."""
 
 
-async def listens(host: str, port: int) -> bool | None:
+async def is_listening(host: str, port: int) -> bool | None:
     """Return whether a process listens; None if there is no answer in time."""
     with trio.move_on_after(LISTEN_TIMEOUT_S), trio.socket.socket() as sock:
         try:
--- a/radishfield/crashes/book_test.py
+++ b/radishfield/crashes/book_test.py
@@ -182,7 +182,7 @@
     ):
         change()
         fresh = CrashBook()
-        for digest in book.lasting():
+        for digest in book.repeated_digests():
             fresh.merge(book.report(digest, 2.0), 2.0)
         assert book.checksum() == fresh.checksum()
     assert book.checksum() == 0
--- a/radishfield/decisions/__init__.py
+++ b/radishfield/decisions/__init__.py
@@ -17,7 +17,7 @@
 )
 from radishfield.decisions._placement import (
     Move,
-    Store,
+    WeightStore,
     propose_moves,
 )
 from radishfield.decisions._scheduler import (
@@ -35,7 +35,7 @@
     "Refused",
     "Retry",
     "Scheduler",
-    "Store",
+    "WeightStore",
     "Work",
     "propose_moves",
 ]
--- a/radishfield/decisions/_admission.py
+++ b/radishfield/decisions/_admission.py
@@ -50,12 +50,12 @@
     over_share: bool
 
 
-def judge(work: Work, forecast: Forecast, now: float) -> Fault | None:
+def check_admission(work: Work, forecast: Forecast, now: float) -> Fault | None:
     """Return why the work is refused, or None to admit it."""
     if work.deadline <= now:
         return fault(ResultCode.DEADLINE_UNREACHABLE, "deadline has passed")
     if forecast.queued >= MAX_QUEUED:
-        retry_after_s = spread_retry(work, forecast.wait_s)
+        retry_after_s = spread_retry_delay(work, forecast.wait_s)
         return fault(
             ResultCode.QUEUE_FULL, "queue of this entry host is full", retry_after_s
         )
@@ -67,7 +67,7 @@
         detail = f"needs {forecast.run_s:.1f} s to run, but only {left_s:.1f} s remain"
         # The deadline cannot be met even with an empty queue, so a retry with the
         # same deadline can succeed only once the fleet runs faster.
-        retry_after_s = spread_retry(work, max(late_s, forecast.wait_s, 5.0))
+        retry_after_s = spread_retry_delay(work, max(late_s, forecast.wait_s, 5.0))
         return fault(ResultCode.DEADLINE_UNREACHABLE, detail, retry_after_s)
     detail = (
         f"expected to wait {forecast.wait_s:.1f} s and run {forecast.run_s:.1f} s,"
@@ -76,10 +76,10 @@
     code = ResultCode.DEADLINE_UNREACHABLE
     if forecast.over_share:
         code = ResultCode.WORKSPACE_OVER_SHARE
-    return fault(code, detail, spread_retry(work, late_s))
+    return fault(code, detail, spread_retry_delay(work, late_s))
 
 
-def spread_retry(work: Work, seconds: float) -> float:
+def spread_retry_delay(work: Work, seconds: float) -> float:
     """Return a retry delay in seconds, spread by a hash of the request id."""
     fraction = zlib.crc32(work.request_id.encode()) / 0xFFFFFFFF
     delay_s = max(seconds, MIN_RETRY_AFTER_S) * (1 + RETRY_SPREAD * fraction)
--- a/radishfield/decisions/_affinity.py
+++ b/radishfield/decisions/_affinity.py
@@ -36,7 +36,7 @@
         self._sequence_by_target: dict[str, int] = {}
         self._gap_at_by_target: dict[str, float] = {}
 
-    def note_sent(self, prefix: str, target_ids: list[str], now: float) -> None:
+    def record_prefix_use(self, prefix: str, target_ids: list[str], now: float) -> None:
         """Record that a prompt with the prefix went to these targets."""
         used_at_by_target = self._uses_by_prefix.setdefault(prefix, {})
         self._uses_by_prefix.move_to_end(prefix)
@@ -52,7 +52,7 @@
             self._gap_at_by_target[event.target_id] = now
         self._sequence_by_target[event.target_id] = max(last or 0, event.sequence)
         if event.stored:
-            self.note_sent(event.prefix, [event.target_id], now)
+            self.record_prefix_use(event.prefix, [event.target_id], now)
         else:
             self._uses_by_prefix.get(event.prefix, {}).pop(event.target_id, None)
 
--- a/radishfield/decisions/_ejection.py
+++ b/radishfield/decisions/_ejection.py
@@ -153,7 +153,7 @@
             health.failures = 0
             health.samples = 0
 
-    def next_return(self) -> float | None:
+    def next_readmission(self) -> float | None:
         """Return when the next ejection ends, or None if no target is ejected."""
         times = [
             health.ejected_until
--- a/radishfield/decisions/_failures.py
+++ b/radishfield/decisions/_failures.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 from radishfield.core import Fault, Outcome, ResultCode
-from radishfield.decisions._admission import spread_retry
+from radishfield.decisions._admission import spread_retry_delay
 from radishfield.decisions._claims import Claim
 from radishfield.decisions._data import (
     Dispatch,
@@ -13,22 +13,22 @@
     Retry,
     Work,
 )
-from radishfield.decisions._precedence import raised
+from radishfield.decisions._precedence import raised_priority
 from radishfield.decisions._recovery import (
-    MAX_DELAY_PART,
+    MAX_DELAY_SHARE,
     RebuildPacer,
     choose_resumption,
     rebuild_cost,
 )
 from radishfield.decisions._retries import (
     CODE_BY_KIND,
-    HOST_ALLOWANCE,
+    HOST_RETRY_LIMITS,
     MAX_ATTEMPTS,
     end_fault,
-    forbids,
+    find_retry_fault,
     is_recovery,
 )
-from radishfield.decisions._running import Running
+from radishfield.decisions._running import RunningRequest
 from radishfield.limits import RetryBudget
 
 RETRY_AFTER_S = 2.0
@@ -42,14 +42,16 @@
     __slots__ = ("_budget", "_pacer")
 
     def __init__(self):
-        self._budget = RetryBudget(HOST_ALLOWANCE)
+        self._budget = RetryBudget(HOST_RETRY_LIMITS)
         self._pacer = RebuildPacer()
 
     def count_request(self, now: float) -> None:
         """Count a dispatched request towards the retry budget."""
-        self._budget.first_try(now)
+        self._budget.record_first_attempt(now)
 
-    def decide(self, running: Running, failure: Failure, now: float) -> Retry | GiveUp:
+    def decide(
+        self, running: RunningRequest, failure: Failure, now: float
+    ) -> Retry | GiveUp:
         """Return the next attempt, already counted in flight, or the request's end."""
         running.ever_started |= failure.started
         if failure.kind is FailureKind.REFUSED and failure.retry_after_s:
@@ -57,7 +59,7 @@
             running.refused_until = max(running.refused_until, retry_at)
         self._count_failure(running, failure, now)
         work, attempt = running.dispatch.work, running.dispatch.attempt
-        problem = forbids(work, failure, attempt, running.ever_started, now)
+        problem = find_retry_fault(work, failure, attempt, running.ever_started, now)
         recovering = is_recovery(failure)
         if problem is None and not recovering and not self._budget.take(now):
             code = ResultCode.RETRY_BUDGET_SPENT
@@ -70,7 +72,9 @@
             return _end_request(work, end_fault(failure, code, running.ever_started))
         return self._retry(running, claim, failure, recovering, now)
 
-    def may_replace(self, running: Running, failure: Failure, now: float) -> bool:
+    def may_replace(
+        self, running: RunningRequest, failure: Failure, now: float
+    ) -> bool:
         """Return whether a silent attempt may end because another can follow it.
 
         A new attempt at the same target would not help: a target that answers it
@@ -78,7 +82,7 @@
         silence is a recovery, so the retry budget does not apply.
         """
         work, attempt = running.dispatch.work, running.dispatch.attempt
-        if forbids(work, failure, attempt, True, now) is None:
+        if find_retry_fault(work, failure, attempt, True, now) is None:
             running.pool.end(running.claim)
             found = _claim_without(running, failure, frozenset((failure.target_id,)))
             running.pool.begin(running.claim)
@@ -89,14 +93,16 @@
             self._count_failure(running, failure, now)
         return False
 
-    def _count_failure(self, running: Running, failure: Failure, now: float) -> None:
+    def _count_failure(
+        self, running: RunningRequest, failure: Failure, now: float
+    ) -> None:
         pool = running.pool
         if pool.ejector.failed(failure.target_id, failure.kind, now):
             pool.eject(failure.target_id)
 
     def _retry(
         self,
-        running: Running,
+        running: RunningRequest,
         claim: Claim,
         failure: Failure,
         recovering: bool,
@@ -118,7 +124,7 @@
         if recovering and attempt == MAX_ATTEMPTS:
             # Full targets refuse at once: without a delay, all attempts are used up
             # within milliseconds.
-            wait_s = min(running.refused_until - now, left_s * MAX_DELAY_PART)
+            wait_s = min(running.refused_until - now, left_s * MAX_DELAY_SHARE)
             after_s = max(after_s, wait_s)
         dispatch = Dispatch(
             work,
@@ -126,7 +132,7 @@
             claim.route,
             claim.target,
             reason,
-            raised(running.dispatch.engine_priority),
+            raised_priority(running.dispatch.engine_priority),
         )
         old = tuple(load.target.id for load in running.claim.loads)
         imports = old if resumption.by_import else ()
@@ -138,11 +144,13 @@
 def _end_request(work: Work, problem: Fault) -> GiveUp:
     """Return the end of a request, with a retry delay if it never ran."""
     if problem.outcome is Outcome.NOT_RUN:
-        problem = replace(problem, retry_after_s=spread_retry(work, RETRY_AFTER_S))
+        problem = replace(
+            problem, retry_after_s=spread_retry_delay(work, RETRY_AFTER_S)
+        )
     return GiveUp(problem)
 
 
-def _next_claim(running: Running, failure: Failure) -> Claim | None:
+def _next_claim(running: RunningRequest, failure: Failure) -> Claim | None:
     """Return a claim for the next attempt; the previous claim is released first.
 
     A target may be ejected while only another model version can replace it for new
@@ -161,7 +169,7 @@
 
 
 def _claim_without(
-    running: Running, failure: Failure, excluded: frozenset[str]
+    running: RunningRequest, failure: Failure, excluded: frozenset[str]
 ) -> Claim | None:
     """Return a claim for the same model version that avoids the excluded targets.
 
--- a/radishfield/decisions/_limits.py
+++ b/radishfield/decisions/_limits.py
@@ -137,7 +137,7 @@
         self._main_host_count = 1.0
         self._update_score()
 
-    def see(self, target: Target) -> None:
+    def update_target(self, target: Target) -> None:
         """Update the target from the fleet's current list.
 
         The list lags: it may still show a target as live that has itself reported
@@ -161,7 +161,7 @@
         self.limit = self.first_limit * learned
         self._update_share()
 
-    def shared_by(self, host_count: int, main_host_count: float) -> None:
+    def set_host_counts(self, host_count: int, main_host_count: float) -> None:
         """Set how many hosts send work here, and how many of them send most of it."""
         self._host_count = max(1, host_count)
         self._main_host_count = max(1.0, main_host_count)
@@ -228,12 +228,12 @@
         self.usable, self.ejected = usable, ejected
         self._update_share()
 
-    def start_full(self) -> None:
+    def start_at_full_weight(self) -> None:
         """Start with the full weight, since the whole fleet is new."""
         self.weight = self.goal
         self._update_share()
 
-    def start_low(self) -> None:
+    def start_at_low_weight(self) -> None:
         """Start, or restart, with a small fraction of the weight."""
         self.weight = self.goal * INITIAL_WEIGHT_FRACTION
         self._update_share()
@@ -276,7 +276,7 @@
         self.use = own / self.share
 
 
-def little_limit(rate_tps: float, cycle_s: float) -> float:
+def littles_law_limit(rate_tps: float, cycle_s: float) -> float:
     """Return the work in flight that sustains a rate at a cycle time per token."""
     return rate_tps * cycle_s * HEADROOM
 
--- a/radishfield/decisions/_placement.py
+++ b/radishfield/decisions/_placement.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Store:
+class WeightStore:
     """The store of weights; one load may read ``layers_per_s`` layers per second."""
 
     layers_per_s: float
@@ -67,7 +67,7 @@
     targets: Sequence[Target],
     links: Sequence[Link],
     zone: str,
-    store: Store,
+    store: WeightStore,
     loading: int = 0,
 ) -> list[Move]:
     """Return the moves that pay for themselves, the best one first.
@@ -119,7 +119,7 @@
     targets: Sequence[Target],
     links: Sequence[Link],
     zone: str,
-    store: Store,
+    store: WeightStore,
     moved: set[str],
     trials: int,
 ) -> tuple[Move | None, int]:
@@ -144,7 +144,7 @@
     targets: Sequence[Target],
     links: Sequence[Link],
     zone: str,
-    store: Store,
+    store: WeightStore,
     bound: float,
     target: Target,
     layers: LayerRange,
--- a/radishfield/decisions/_pool.py
+++ b/radishfield/decisions/_pool.py
@@ -18,7 +18,7 @@
     HEADROOM,
     TargetLoad,
     full_step_s,
-    little_limit,
+    littles_law_limit,
 )
 from radishfield.decisions._pace import DrainRate, TokenTimes
 from radishfield.decisions._routes import Chooser, Crossing
@@ -99,15 +99,15 @@
             if load is None or load.target.incarnation != target.incarnation:
                 load = TargetLoad(target)
                 new_loads.append(load)
-            load.see(target)
+            load.update_target(target)
             self.loads_by_id[target.id] = load
         self.ejector.keep_only(set(self.loads_by_id))
         self.replan()
         for load in new_loads:
             if previous:
-                load.start_low()
+                load.start_at_low_weight()
             else:
-                load.start_full()
+                load.start_at_full_weight()
 
     def replan(self) -> None:
         """Recompute flow, weights and limits; only for fleet changes."""
@@ -123,7 +123,7 @@
             self._replan_engine(active)
         zones = len({load.target.zone for load in active}) or 1
         for load in self.loads_by_id.values():
-            load.shared_by(self._hosts, self._hosts / zones)
+            load.set_host_counts(self._hosts, self._hosts / zones)
         self.served = self.covered()
         if not self.served:
             self.end_ejections()
@@ -283,7 +283,7 @@
         if returned:
             self.replan()
         for load in returned:
-            load.start_low()
+            load.start_at_low_weight()
 
     def tick(self, elapsed_s: float, now: float) -> None:
         """Update weights and drop stale reports; once a second is enough."""
@@ -349,7 +349,7 @@
         self.token_times.reset_initial(cycle_s * HEADROOM)
         for load in loads:
             load.goal = plan.weight_by_target[load.target.id]
-            load.resize(little_limit(load.goal, cycle_s))
+            load.resize(littles_law_limit(load.goal, cycle_s))
         self._set_crossings(cycle_s)
         self._choosers.append(
             Chooser(
@@ -363,7 +363,7 @@
                 continue
             pair = link.from_zone, link.to_zone
             crossing = self._crossings_by_pair.setdefault(pair, Crossing(0.0))
-            crossing.limit = little_limit(link.tokens_per_s, cycle_s) / self._hosts
+            crossing.limit = littles_law_limit(link.tokens_per_s, cycle_s) / self._hosts
 
     def _pick_service(
         self, long: bool, excluded: frozenset[str], forced: bool
--- a/radishfield/decisions/_precedence.py
+++ b/radishfield/decisions/_precedence.py
@@ -63,6 +63,6 @@
     return priority
 
 
-def raised(priority: Priority) -> Priority:
+def raised_priority(priority: Priority) -> Priority:
     """Return the priority for interrupted work, as its caller has already waited."""
     return HIGHER[priority]
--- a/radishfield/decisions/_recovery.py
+++ b/radishfield/decisions/_recovery.py
@@ -29,7 +29,7 @@
 """Seconds of that fraction that may start at once, so that the streams of a
 single dead stage resume without delay."""
 
-MAX_DELAY_PART = 0.5
+MAX_DELAY_SHARE = 0.5
 """Fraction of the time left before its deadline that a stream may wait."""
 
 
@@ -92,4 +92,4 @@
         self._updated_at = now
         wait_s = max(0.0, self._level / rate - REBUILD_BURST_S)
         self._level += cost
-        return min(wait_s, left_s * MAX_DELAY_PART)
+        return min(wait_s, left_s * MAX_DELAY_SHARE)
--- a/radishfield/decisions/_retries.py
+++ b/radishfield/decisions/_retries.py
@@ -21,7 +21,7 @@
 """Three retries: with one target in ten bad, one request in ten thousand would
 need a fifth attempt."""
 
-HOST_ALLOWANCE = RetryAllowance(ratio=0.05, window_s=10.0, slack=10, safety=1.0)
+HOST_RETRY_LIMITS = RetryAllowance(ratio=0.05, window_s=10.0, slack=10, safety=1.0)
 """Five retries per hundred requests of the last ten seconds, plus ten so that a
 host with little traffic can retry at all.  Each host has its own budget."""
 
@@ -57,7 +57,7 @@
     return Fault(code, detail or failure.kind.value, None, outcome)
 
 
-def forbids(
+def find_retry_fault(
     work: Work, failure: Failure, attempt: int, ever_started: bool, now: float
 ) -> Fault | None:
     """Return the fault that rules out another attempt, or None if one is allowed."""
--- a/radishfield/decisions/_running.py
+++ b/radishfield/decisions/_running.py
@@ -11,7 +11,7 @@
 answer."""
 
 
-class Running:
+class RunningRequest:
     """A request in flight, over all its attempts.
 
     Attributes
--- a/radishfield/decisions/_scheduler.py
+++ b/radishfield/decisions/_scheduler.py
@@ -13,7 +13,11 @@
     TargetKind,
     fault,
 )
-from radishfield.decisions._admission import Forecast, judge, spread_retry
+from radishfield.decisions._admission import (
+    Forecast,
+    check_admission,
+    spread_retry_delay,
+)
 from radishfield.decisions._affinity import PrefixIndex
 from radishfield.decisions._claims import Claim
 from radishfield.decisions._data import (
@@ -32,7 +36,7 @@
 from radishfield.decisions._pool import Pool
 from radishfield.decisions._precedence import WorkspaceLoad, engine_priority
 from radishfield.decisions._queues import Entry, Lane, WorkQueue, lane_for
-from radishfield.decisions._running import Running
+from radishfield.decisions._running import RunningRequest
 from radishfield.decisions._snapshot import Snapshot, build_snapshot
 
 TICK_S = 1.0
@@ -85,7 +89,7 @@
         self._pools_by_key: dict[PoolKey, Pool] = {}
         self._prefixes = PrefixIndex()
         self._queues_by_key: dict[PoolKey, WorkQueue] = {}
-        self._running_by_request: dict[str, Running] = {}
+        self._running_by_request: dict[str, RunningRequest] = {}
         self._workspace_load = WorkspaceLoad()
         self._ticked_at: float | None = None
 
@@ -133,7 +137,7 @@
         key = work.kind, work.model
         pool = self._pools_by_key.get(key)
         if pool is None or not pool.served:
-            retry = spread_retry(work, NO_TARGET_RETRY_S)
+            retry = spread_retry_delay(work, NO_TARGET_RETRY_S)
             return self._refuse(
                 work, fault(ResultCode.NO_TARGET, work.model, retry), now
             )
@@ -147,9 +151,9 @@
         run_s = self._run_s(pool, work, cost, sent_priority)
         ahead = queue.ahead_of(work, cost, lane) if len(queue) else 0.0
         forecast = Forecast(ahead / pool.drain_tps, run_s, len(queue), False)
-        problem = judge(work, forecast, now)
+        problem = check_admission(work, forecast, now)
         if problem is not None and queue.over_share(work):
-            problem = judge(work, replace(forecast, over_share=True), now)
+            problem = check_admission(work, replace(forecast, over_share=True), now)
         if problem is not None:
             return self._refuse(work, problem, now)
         latest_start = work.deadline - pool.token_times.at(
@@ -185,7 +189,9 @@
 
     def next_wakeup(self, now: float) -> float | None:
         """Return when `take` should be called again at the latest."""
-        times = [pool.ejector.next_return() for pool in self._pools_by_key.values()]
+        times = [
+            pool.ejector.next_readmission() for pool in self._pools_by_key.values()
+        ]
         for queue in self._queues_by_key.values():
             if len(queue):
                 times += [queue.next_expiry(), now + TICK_S]
@@ -285,7 +291,7 @@
         self, pool: Pool, queue: WorkQueue, entry: Entry, now: float
     ) -> Expired:
         # All waiting work has to leave the queue before a new request would start.
-        retry = spread_retry(entry.work, queue.backlog() / pool.drain_tps)
+        retry = spread_retry_delay(entry.work, queue.backlog() / pool.drain_tps)
         detail = "can no longer finish on time"
         problem = fault(ResultCode.EXPIRED_IN_QUEUE, detail, retry)
         self._workspace_load.end(entry.work.workspace, entry.cost)
@@ -357,13 +363,13 @@
             work, 1, claim.route, claim.target, "least loaded", sent_priority
         )
         pool.begin(claim)
-        self._running_by_request[work.request_id] = Running(
+        self._running_by_request[work.request_id] = RunningRequest(
             pool, dispatch, claim, now, entry.cost
         )
         self._failures.count_request(now)
         held = [load.target.id for load in claim.loads]
         if work.prefix_key:
-            self._prefixes.note_sent(work.prefix_key, held, now)
+            self._prefixes.record_prefix_use(work.prefix_key, held, now)
         self._journal.note(work.request_id, Note(now, "dispatched", " ".join(held)))
         return dispatch
 
--- a/radishfield/decisions/affinity_test.py
+++ b/radishfield/decisions/affinity_test.py
@@ -22,9 +22,9 @@
 
 def test_entries_expire_and_their_number_is_bounded():
     index = PrefixIndex()
-    index.note_sent("p", ["t"], 0.0)
+    index.record_prefix_use("p", ["t"], 0.0)
     assert index.holders("p", TTL_S) == ["t"]
     assert index.holders("p", TTL_S + 1) == []
     for number in range(MAX_PREFIXES):
-        index.note_sent(f"p{number}", ["t"], 1.0)
+        index.record_prefix_use(f"p{number}", ["t"], 1.0)
     assert len(index._uses_by_prefix) == MAX_PREFIXES
--- a/radishfield/decisions/limits_test.py
+++ b/radishfield/decisions/limits_test.py
@@ -11,7 +11,7 @@
 def load(make_target):
     target_load = TargetLoad(make_target("t", 0, 10))
     target_load.resize(36.0)
-    target_load.shared_by(9, 3.0)
+    target_load.set_host_counts(9, 3.0)
     return target_load
 
 
@@ -34,7 +34,7 @@
     hosts = [TargetLoad(load.target) for _ in range(3)]
     for host in hosts:
         host.resize(36.0)
-        host.shared_by(9, 3.0)
+        host.set_host_counts(9, 3.0)
     for _ in range(5):
         total = sum(host.own for host in hosts)
         for host in hosts:
@@ -92,7 +92,7 @@
 
 def test_weight_rises_slowly_and_falls_at_once(load):
     load.goal = 100.0
-    load.start_low()
+    load.start_at_low_weight()
     for _ in range(3):
         load.shift_weight(1.0)
     assert load.weight == pytest.approx(70.0)
--- a/radishfield/decisions/placement_test.py
+++ b/radishfield/decisions/placement_test.py
@@ -1,9 +1,9 @@
 """Which moves of targets are proposed, and which never are."""
 
 from radishfield.core import LayerRange
-from radishfield.decisions._placement import Store, is_last_replica, propose_moves
+from radishfield.decisions._placement import WeightStore, is_last_replica, propose_moves
 
-FAST_STORE = Store(layers_per_s=1.0, concurrent_loads=2)
+FAST_STORE = WeightStore(layers_per_s=1.0, concurrent_loads=2)
 
 
 def test_a_target_moves_to_the_range_that_is_the_bottleneck(make_target):
@@ -17,7 +17,7 @@
 def test_no_move_when_loading_costs_more_than_it_gains(make_target):
     targets = [make_target(f"a{i}", 0, 10) for i in range(5)]
     targets += [make_target("b0", 10, 20)]
-    slow_store = Store(layers_per_s=0.01, concurrent_loads=2)
+    slow_store = WeightStore(layers_per_s=0.01, concurrent_loads=2)
     assert propose_moves(targets, [], "a", slow_store) == []
 
 
--- a/radishfield/decisions/retries_test.py
+++ b/radishfield/decisions/retries_test.py
@@ -7,10 +7,10 @@
 from radishfield.decisions._ejection import Ejector
 from radishfield.decisions._recovery import RebuildPacer, choose_resumption
 from radishfield.decisions._retries import (
-    HOST_ALLOWANCE,
+    HOST_RETRY_LIMITS,
     MAX_ATTEMPTS,
     end_fault,
-    forbids,
+    find_retry_fault,
     is_recovery,
 )
 from radishfield.limits import RetryBudget
@@ -23,15 +23,15 @@
 @pytest.mark.parametrize("kind", FailureKind)
 def test_non_idempotent_work_is_not_retried_once_started(make_work, kind):
     work = make_work("r", idempotent=False)
-    problem = forbids(work, failure(kind), 1, True, 1.0)
+    problem = find_retry_fault(work, failure(kind), 1, True, 1.0)
     assert problem.outcome is Outcome.UNKNOWN
-    assert forbids(work, failure(kind, started=False), 1, False, 1.0) is None
+    assert find_retry_fault(work, failure(kind, started=False), 1, False, 1.0) is None
 
 
 def test_no_attempt_after_the_deadline_or_the_last_attempt(make_work):
     work = make_work("r", deadline=10.0)
-    late = forbids(work, failure(), 1, True, 10.0)
-    spent = forbids(work, failure(), MAX_ATTEMPTS, False, 1.0)
+    late = find_retry_fault(work, failure(), 1, True, 10.0)
+    spent = find_retry_fault(work, failure(), MAX_ATTEMPTS, False, 1.0)
     assert late.code is ResultCode.DEADLINE_PASSED
     assert (spent.code, spent.outcome) == (
         ResultCode.RETRIES_EXHAUSTED,
@@ -47,12 +47,12 @@
 
 def test_retries_stay_a_few_per_hundred_requests():
     """Every one of a thousand requests fails and requests a retry."""
-    budget = RetryBudget(HOST_ALLOWANCE)
+    budget = RetryBudget(HOST_RETRY_LIMITS)
     allowed = 0
     for index in range(1000):
-        budget.first_try(index * 0.005)
+        budget.record_first_attempt(index * 0.005)
         allowed += budget.take(index * 0.005)
-    assert allowed <= 0.05 * 1000 + HOST_ALLOWANCE.slack + 1
+    assert allowed <= 0.05 * 1000 + HOST_RETRY_LIMITS.slack + 1
 
 
 def test_interrupted_stream_is_recovered_and_refusal_is_retried():
@@ -85,10 +85,10 @@
     ejector = Ejector()
     assert not ejector.failed("t", FailureKind.CONNECT, 0.0)
     assert ejector.failed("t", FailureKind.CONNECT, 0.0)
-    first = ejector.next_return()
+    first = ejector.next_readmission()
     assert ejector.readmit(first) == ["t"]
     assert ejector.failed("t", FailureKind.CONNECT, first)
-    assert ejector.next_return() - first == 2 * first
+    assert ejector.next_readmission() - first == 2 * first
 
 
 def test_complete_answer_resets_the_failure_count():
@@ -96,7 +96,7 @@
     for _ in range(5):
         ejector.failed("t", FailureKind.SILENT, 0.0)
         ejector.succeeded("t")
-    assert ejector.next_return() is None
+    assert ejector.next_readmission() is None
 
 
 def test_refusals_do_not_eject_a_target():
--- a/radishfield/edges/_peer.py
+++ b/radishfield/edges/_peer.py
@@ -238,7 +238,7 @@
             digest=self._digest(),
             number=number,
             body=body,
-            updates=tuple(self._membership.updates_to_tell(member_id, limit)),
+            updates=tuple(self._membership.updates_to_send(member_id, limit)),
         )
         data = self._sealer.seal(encode_frame(frame), DATAGRAM_CONTEXT)
         if len(data) > MAX_DATAGRAM_BYTES:
--- a/radishfield/edges/_peer_probe.py
+++ b/radishfield/edges/_peer_probe.py
@@ -209,7 +209,7 @@
             self._membership.answered(member.id, now)
         else:
             received_any = self._received > received_before
-            self._membership.not_answered(member.id, now, received_any)
+            self._membership.record_probe_failure(member.id, now, received_any)
 
     async def _probe_through_helpers(self, member: Update, number: int) -> None:
         for helper in self._membership.helpers(member.id, HELPERS_PER_PROBE):
--- a/radishfield/edges/peer_test.py
+++ b/radishfield/edges/peer_test.py
@@ -184,13 +184,13 @@
             hosts = await start_hosts(nursery, network, 9)
             await trio.sleep(10)
             partitioned = {"h0:1", "h3:1", "h6:1"}
-            network.faults.is_cut = lambda one, other: (one in partitioned) != (
+            network.faults.is_partitioned = lambda one, other: (one in partitioned) != (
                 other in partitioned
             )
             await trio.sleep(30)
             assert live_member_ids(hosts[0]) == {"h0", "h3", "h6"}
             assert len(live_member_ids(hosts[1])) == 6
-            network.faults.is_cut = lambda one, other: False
+            network.faults.is_partitioned = lambda one, other: False
             await trio.sleep(30)
             assert all(len(live_member_ids(host)) == 9 for host in hosts)
             assert {member.incarnation for member in hosts[0].members()} == {1}
@@ -279,11 +279,11 @@
             ask = hosts[0].ask
             assert (await ask("h1", "double", b"a", 1.0)).ok == b"h0aa"
             (kept,) = hosts[0].streams._idle_by_address["h1:1"]
-            network.faults.is_cut = lambda one, other: True
+            network.faults.is_partitioned = lambda one, other: True
             assert (await ask("h1", "double", b"a", 1.0)).error.code is (
                 ResultCode.PEER_UNREACHABLE
             )
-            network.faults.is_cut = lambda one, other: False
+            network.faults.is_partitioned = lambda one, other: False
             assert (await ask("h1", "double", b"b", 1.0)).ok == b"h0bb"
             (kept,) = hosts[0].streams._idle_by_address["h1:1"]
             kept._stream._near = "silent"
--- a/radishfield/fleet/_directory.py
+++ b/radishfield/fleet/_directory.py
@@ -116,7 +116,7 @@
             await self._changed.wait()
         return self.version
 
-    def entry_hosts_in_zone(self) -> int:
+    def entry_host_count_in_zone(self) -> int:
         """Return how many live entry hosts share this zone's targets, at least 1."""
         live = sum(
             member.zone == self._zone and member.state is MemberState.LIVE
@@ -138,7 +138,7 @@
             self.mark_leaving(report.target_id, report.incarnation)
         self._rebuild(report.target_id)
 
-    def see_hosts(self, listing: HostListing) -> None:
+    def observe_hosts(self, listing: HostListing) -> None:
         """Apply the platform's list of hosts, which may be out of date.
 
         A host that was listed before, and has been missing for longer than
--- a/radishfield/fleet/_facts.py
+++ b/radishfield/fleet/_facts.py
@@ -58,7 +58,7 @@
         "_fact_by_key",
         "_unsent_by_key",
         "_listeners_by_kind",
-        "is_known",
+        "is_filled",
     )
 
     def __init__(self):
@@ -66,7 +66,7 @@
         self._unsent_by_key: dict[tuple[str, str], StoredObject] = {}
         self._bucket_digests = [0] * BUCKET_COUNT
         self._listeners_by_kind: dict[str, list[FactListener]] = {}
-        self.is_known = False
+        self.is_filled = False
 
     def listen(self, kind: str, listener: FactListener) -> None:
         """Call the listener with each newer fact of a kind; "" means all kinds."""
--- a/radishfield/fleet/_membership.py
+++ b/radishfield/fleet/_membership.py
@@ -146,7 +146,7 @@
         """Record that a probe of a member was answered."""
         self.health_penalty = max(0, self.health_penalty - 1)
 
-    def not_answered(self, member_id: str, now: float, heard_any: bool) -> None:
+    def record_probe_failure(self, member_id: str, now: float, heard_any: bool) -> None:
         """Record that a member answered neither this host nor its helpers.
 
         ``heard_any`` tells whether a message of any other member was received in
@@ -224,7 +224,7 @@
         near = others[: count - 1]
         return near + [update for update in reversed(others) if update not in near][:1]
 
-    def updates_to_tell(self, recipient: str, limit: int) -> Sequence[Update]:
+    def updates_to_send(self, recipient: str, limit: int) -> Sequence[Update]:
         """Return the updates for one message, the least often sent ones first.
 
         An accusation of the recipient goes first, so that it can refute it.
--- a/radishfield/fleet/_operations.py
+++ b/radishfield/fleet/_operations.py
@@ -162,7 +162,7 @@
             targets=parts.directory.targets(),
             profiles_in_zones=await self._profiles_in_zones(members),
             leases=tuple(lease.status() for lease in parts.leases),
-            profiles_known=parts.facts.is_known,
+            profiles_known=parts.facts.is_filled,
             platform_heard_s_ago=(
                 None if answered_at is None else parts.clock.now() - answered_at
             ),
--- a/radishfield/fleet/_placement.py
+++ b/radishfield/fleet/_placement.py
@@ -11,12 +11,12 @@
 import trio
 
 from radishfield.core import Link, Target, TargetKind, TargetState
-from radishfield.decisions import Move, Store, propose_moves
+from radishfield.decisions import Move, WeightStore, propose_moves
 from radishfield.fleet._directory import TargetDirectory
 from radishfield.fleet._leases import LeaseKeeper
 from radishfield.fleet._orders import LOAD_LAYERS, OrderSender, ProposedOrder
 
-MovePlanner = Callable[[Sequence[Target], Sequence[Link], str, Store], list[Move]]
+MovePlanner = Callable[[Sequence[Target], Sequence[Link], str, WeightStore], list[Move]]
 
 
 @dataclass(slots=True, frozen=True)
@@ -80,7 +80,9 @@
     async def plan(self) -> None:
         """Compute the moves that are worth their cost, and propose them."""
         orders: list[ProposedOrder] = []
-        store = Store(self._settings.layers_per_s, self._settings.concurrent_loads)
+        store = WeightStore(
+            self._settings.layers_per_s, self._settings.concurrent_loads
+        )
         for targets in self._groups():
             # Solving flows may take seconds; on the event loop it would stall
             # every stream of this host for that time.
--- a/radishfield/fleet/_profiles.py
+++ b/radishfield/fleet/_profiles.py
@@ -220,7 +220,7 @@
         self._changed = trio.Event()
 
     def _missing_fault(self, name: str) -> Fault:
-        if self._facts.is_known:
+        if self._facts.is_filled:
             return fault(ResultCode.UNKNOWN_PROFILE, name)
         detail = "no profiles received since the start"
         return fault(ResultCode.PROFILES_UNKNOWN, detail, UNKNOWN_RETRY_AFTER_S)
--- a/radishfield/fleet/_spread.py
+++ b/radishfield/fleet/_spread.py
@@ -131,7 +131,7 @@
         decoded = _wire.decode_sync_answer(answer.ok)
         if decoded.is_error():
             return Error(decoded.error)
-        is_known, theirs, their_digests = decoded.ok
+        is_filled, theirs, their_digests = decoded.ok
         wanted = self._facts.older_than(theirs)
         offered = _bounded(self._facts.newer_than(theirs, their_digests))
         if wanted or offered:
@@ -142,8 +142,8 @@
             problem = self._learn_all(received)
             if problem is not None:
                 return Error(problem)
-        if is_known and not self._facts.older_than(theirs):
-            self._facts.is_known = True
+        if is_filled and not self._facts.older_than(theirs):
+            self._facts.is_filled = True
         return Ok(None)
 
     async def _send_unsent(self) -> None:
@@ -178,7 +178,7 @@
 
     async def _fill_table(self) -> None:
         """Exchange with peers, those of this zone first, until the table is filled."""
-        while not self._facts.is_known:
+        while not self._facts.is_filled:
             members = [
                 member
                 for member in self._peers.members()
@@ -187,7 +187,7 @@
             ]
             members.sort(key=lambda member: member.zone != self._settings.zone)
             for member in members[:8]:
-                if not self._facts.is_known:
+                if not self._facts.is_filled:
                     await self.exchange(member.id)
             await trio.sleep(SYNC_PAUSE_S)
 
@@ -199,7 +199,7 @@
         match facts:
             case Result(tag="ok", ok=batch):
                 # The facts that fill a new host's table are known to all others.
-                spread = self._facts.is_known
+                spread = self._facts.is_filled
                 for fact in batch:
                     self._facts.learn(fact, spread)
                 return None
@@ -217,7 +217,7 @@
         if decoded.is_error():
             return Error(decoded.error)
         answer = _wire.encode_sync_answer(
-            self._facts.is_known,
+            self._facts.is_filled,
             self._facts.versions_in_differing_buckets(decoded.ok),
             self._facts.bucket_digests(),
         )
--- a/radishfield/fleet/_watcher.py
+++ b/radishfield/fleet/_watcher.py
@@ -154,7 +154,7 @@
                 self._facts.learn(stored, spread=not is_first)
             is_first = False
             if kind == "profile":
-                self._facts.is_known = True
+                self._facts.is_filled = True
             await self._watch(kind, listed.ok.revision)
 
     async def _watch(self, kind: str, revision: int) -> None:
--- a/radishfield/fleet/_wire.py
+++ b/radishfield/fleet/_wire.py
@@ -62,11 +62,11 @@
 
 
 def encode_sync_answer(
-    is_known: bool, versions: Sequence[FactVersion], bucket_digests: Sequence[int]
+    is_filled: bool, versions: Sequence[FactVersion], bucket_digests: Sequence[int]
 ) -> bytes:
     """Encode the versions at the answering host where the digests differ."""
     message = _schema.SyncAnswer.new_message(
-        isKnown=is_known, bucketDigests=list(bucket_digests)
+        isKnown=is_filled, bucketDigests=list(bucket_digests)
     )
     _fill_versions(message.init("versions", len(versions)), versions)
     return message.to_bytes_packed()
--- a/radishfield/fleet/directory_test.py
+++ b/radishfield/fleet/directory_test.py
@@ -91,7 +91,7 @@
             self.facts.learn(stored("target", f"t{number}", target(number)))
 
     def list_host(self, state):
-        self.directory.see_hosts(HostListing((Host("host0", "z0", state),)))
+        self.directory.observe_hosts(HostListing((Host("host0", "z0", state),)))
 
     def state(self, target_id="t0"):
         return self.directory.find(target_id).state
@@ -163,14 +163,14 @@
     """
     setup = Setup(targets=2)
     both = (Host("host0", "z0", address="10.0.0.1:7"), Host("host1", "z0"))
-    setup.directory.see_hosts(HostListing(both))
+    setup.directory.observe_hosts(HostListing(both))
     assert setup.peers.seeds == ["10.0.0.1:7"]
     for seconds, copy in ((2, both[:1]), (4, ()), (6, both), (30, both[:1])):
         setup.clock.time = seconds
-        setup.directory.see_hosts(HostListing(copy))
+        setup.directory.observe_hosts(HostListing(copy))
         assert setup.state("t1") is TargetState.LIVE
     setup.clock.time = 37
-    setup.directory.see_hosts(HostListing(both[:1]))
+    setup.directory.observe_hosts(HostListing(both[:1]))
     assert setup.state("t1") is TargetState.LEAVING
     assert setup.state("t0") is TargetState.LIVE
 
--- a/radishfield/fleet/membership_test.py
+++ b/radishfield/fleet/membership_test.py
@@ -34,7 +34,7 @@
 
 def test_silent_member_is_suspected_and_then_dead():
     membership = membership_of(9)
-    membership.not_answered("h1", 0.0, heard_any=True)
+    membership.record_probe_failure("h1", 0.0, heard_any=True)
     assert state_of(membership, "h1") is MemberState.SUSPECT
     longest = membership.suspicion_s(accusers=1)
     assert tick_until(membership, longest - PERIOD_S) == []
@@ -49,8 +49,8 @@
     show others that it has lost its in-memory state.
     """
     accuser, slow = membership_of(9), membership_of(9, own="h1")
-    accuser.not_answered("h1", 0.0, heard_any=True)
-    updates = accuser.updates_to_tell("h1", limit=1)
+    accuser.record_probe_failure("h1", 0.0, heard_any=True)
+    updates = accuser.updates_to_send("h1", limit=1)
     assert updates[0].id == "h1" and updates[0].state is MemberState.SUSPECT
     slow.observe(updates[0], 1.0)
     assert slow.false_accusations == 1
@@ -65,7 +65,7 @@
     waits = [membership.suspicion_s(accusers) for accusers in (1, 2, 3, 4)]
     assert waits == sorted(waits, reverse=True)
     assert waits[0] == 3 * waits[-1]
-    membership.not_answered("h1", 0.0, heard_any=True)
+    membership.record_probe_failure("h1", 0.0, heard_any=True)
     for accuser in ("h2", "h3", "h4"):
         accusation = update(
             "h1", "z1", state=MemberState.SUSPECT, accuser=accuser, refutation=0
@@ -77,10 +77,10 @@
 
 def test_host_that_receives_nothing_raises_its_health_penalty():
     membership = membership_of(9)
-    membership.not_answered("h1", 0.0, heard_any=True)
+    membership.record_probe_failure("h1", 0.0, heard_any=True)
     assert membership.health_penalty == 0
     for _ in range(20):
-        membership.not_answered("h2", 0.0, heard_any=False)
+        membership.record_probe_failure("h2", 0.0, heard_any=False)
     assert membership.health_penalty == 8
     membership.answered("h3", 1.0)
     assert membership.health_penalty == 7
@@ -93,7 +93,7 @@
     suspect dead as soon as the host resumes.
     """
     membership = membership_of(9)
-    membership.not_answered("h1", 0.0, heard_any=True)
+    membership.record_probe_failure("h1", 0.0, heard_any=True)
     membership.tick(0.5)
     assert membership.tick(60.0) == []
     assert state_of(membership, "h1") is MemberState.SUSPECT
@@ -104,7 +104,7 @@
     membership.observe(update("h1", state=MemberState.LEAVING), 0.0)
     membership.observe(update("h1"), 0.0)
     assert state_of(membership, "h1") is MemberState.LEAVING
-    membership.not_answered("h1", 0.0, heard_any=True)
+    membership.record_probe_failure("h1", 0.0, heard_any=True)
     assert state_of(membership, "h1") is MemberState.LEAVING
     assert tick_until(membership, 6.0) == ["h1"]
     membership.observe(update("h1", refutation=5), 0.0)
@@ -130,10 +130,10 @@
 
 def test_updates_are_sent_a_bounded_number_of_times():
     membership = membership_of(9)
-    batches = [membership.updates_to_tell("", 6) for _ in range(60)]
+    batches = [membership.updates_to_send("", 6) for _ in range(60)]
     assert all(len(updates) <= 6 for updates in batches) and batches[-1] == []
-    membership.not_answered("h1", 0.0, heard_any=True)
-    assert [update.id for update in membership.updates_to_tell("", 6)] == ["h1"]
+    membership.record_probe_failure("h1", 0.0, heard_any=True)
+    assert [update.id for update in membership.updates_to_send("", 6)] == ["h1"]
 
 
 def test_a_suspect_is_probed_next_and_only_once():
--- a/radishfield/fleet/operations_test.py
+++ b/radishfield/fleet/operations_test.py
@@ -59,7 +59,7 @@
             (item.zone, item.lowest_version, item.hosts_answered)
             for item in status.profiles_in_zones
         ] == [("z0", 1, 3), ("z1", 1, 3), ("z2", 1, 3)]
-        fleet.cut_zone("z2")
+        fleet.partition_zone("z2")
         await trio.sleep(30)
         assert (await operations.change_profile(profile, 1)).ok.version == 2
         await trio.sleep(5)
--- a/radishfield/fleet/profiles_test.py
+++ b/radishfield/fleet/profiles_test.py
@@ -175,7 +175,7 @@
         not_received = setup.second.find("none").error
         assert not_received.code is ResultCode.PROFILES_UNKNOWN
         assert not_received.retry_after_s > 0
-        setup.second_facts.is_known = True
+        setup.second_facts.is_filled = True
         assert setup.second.find("none").error.code is ResultCode.UNKNOWN_PROFILE
         bad = (await setup.first.publish(review(deadline_s=-1.0))).error
         assert bad.code is ResultCode.CHANGE_INVALID
--- a/radishfield/fleet/spread_test.py
+++ b/radishfield/fleet/spread_test.py
@@ -80,7 +80,7 @@
         await trio.sleep(10)
         await fleet.hosts[0].store.publish(review())
         await wait_active(fleet.hosts, 1, 5)
-        fleet.cut_zone("z2")
+        fleet.partition_zone("z2")
         await trio.sleep(20)
         await fleet.hosts[0].store.retire("review")
         await trio.sleep(20)
@@ -110,7 +110,7 @@
         await wait_active(fleet.hosts, 1, 5)
         newcomer = MemoryHost(fleet, 5)
         fleet.hosts.append(newcomer)
-        fleet.cut_zone("z2")
+        fleet.partition_zone("z2")
         fleet.nursery.start_soon(newcomer.run)
         # Shorter than the time until the first answer of a peer.
         await trio.sleep(0.001)
@@ -118,7 +118,7 @@
         assert not_received.code is ResultCode.PROFILES_UNKNOWN
         await wait_active([newcomer], 1, 10)
         with trio.fail_after(5):
-            while not newcomer.facts.is_known:
+            while not newcomer.facts.is_filled:
                 await trio.sleep(0.1)
         unknown = newcomer.store.find("none").error
         assert unknown.code is ResultCode.UNKNOWN_PROFILE
--- a/radishfield/forwarding/_active_stream.py
+++ b/radishfield/forwarding/_active_stream.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from radishfield.crashes import OUTLIVED_S
+from radishfield.crashes import CRASH_WINDOW_S
 from radishfield.forwarding._call import Call
 from radishfield.routing import Demand, EngineSpec, Path, StreamSilence
 from radishfield.telemetry import log_event
@@ -89,7 +89,8 @@
         """Return whether its target was still alive well after the attempt started."""
         started_at = self._first_event_at
         return (
-            started_at is not None and self.last_progress_at - started_at >= OUTLIVED_S
+            started_at is not None
+            and self.last_progress_at - started_at >= CRASH_WINDOW_S
         )
 
     def stop(self) -> None:
--- a/radishfield/forwarding/_app.py
+++ b/radishfield/forwarding/_app.py
@@ -8,7 +8,7 @@
 from radishfield.forwarding._plain import PlainForwarder
 from radishfield.forwarding._stream_paths import LEAVING_RETRY_S
 from radishfield.forwarding._streams import StreamForwarder
-from radishfield.forwarding._targets import stale_view
+from radishfield.forwarding._targets import stale_config_fault
 from radishfield.forwarding._view import RouterView
 from radishfield.platform import RequestFacts, read_request
 from radishfield.routing import NoKeyNeeded, RouteKind, UnknownKey, Workspace
@@ -128,7 +128,7 @@
                 workspace = known
         now = self._view.clock.now()
         if workspace is not None and not self._view.freshness.admits_keys(now):
-            return stale_view(self._view)
+            return stale_config_fault(self._view)
         if not self._view.takes_work(route.timeout_s):
             return fault(ResultCode.DRAINING, "host is leaving", LEAVING_RETRY_S)
         service = self._view.pick_service(route)
@@ -154,7 +154,7 @@
         """Refuse an unknown key; a stale view does not show that a key is invalid."""
         now = self._view.clock.now()
         if not self._view.freshness.admits_keys(now):
-            return stale_view(self._view)
+            return stale_config_fault(self._view)
         return fault(ResultCode.UNAUTHORIZED, f"version {version}")
 
     def _record_end(
--- a/radishfield/forwarding/_call.py
+++ b/radishfield/forwarding/_call.py
@@ -10,7 +10,7 @@
     Headers,
     RequestFacts,
     caller_headers,
-    own_answer_headers,
+    router_answer_headers,
 )
 from radishfield.routing import RouteRule, ServiceSpec, Workspace
 from radishfield.web import send_bytes, send_chunk, start_answer
@@ -91,7 +91,7 @@
         self.started = True
         status = status_of(problem)
         retry_after_s = problem.retry_after_s if status == 503 else None
-        headers = own_answer_headers(self.request_id, _jittered(retry_after_s))
+        headers = router_answer_headers(self.request_id, _jittered(retry_after_s))
         body = msgspec.json.encode(
             {"code": int(problem.code), "error": problem.code.name.lower()}
         )
@@ -186,7 +186,7 @@
     sent: int = 0
     arrived: int = 0
     may_have_run: bool = False
-    repeat_reserved: bool = False
+    retry_reserved: bool = False
     tried: set[str] = msgspec.field(default_factory=set)
     ran_at: set[str] = msgspec.field(default_factory=set)
     times: StreamTimes = msgspec.field(default_factory=StreamTimes)
--- a/radishfield/forwarding/_crash_gossip.py
+++ b/radishfield/forwarding/_crash_gossip.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from radishfield.crashes import CrashReport
-from radishfield.forwarding._peer_messages import NEWS_BYTES, PeerCrashes, encoder
+from radishfield.forwarding._peer_messages import MAX_UPDATE_BYTES, PeerCrashes, encoder
 from radishfield.forwarding._peers import Peer, PeerBook
 from radishfield.forwarding._view import RouterView
 
@@ -33,13 +33,13 @@
         self._send = send
         self._sent_at_by_host: dict[str, float] = {}
 
-    async def tell_news(self) -> None:
+    async def send_new_reports(self) -> None:
         """Send new crash reports to all hosts until cancelled."""
         while True:
-            await self._view.crash_news.wait()
-            digests = self._view.crash_news.take()
+            await self._view.crash_updates.wait()
+            digests = self._view.crash_updates.take()
             self._send_reports(
-                digests, [*self._zone_peers(), *self._book.far_watchers()]
+                digests, [*self._zone_peers(), *self._book.remote_watchers()]
             )
 
     def hear(self, message: PeerCrashes) -> None:
@@ -59,10 +59,10 @@
         ):
             return
         self._sent_at_by_host[host_id] = now
-        self._send_reports(self._view.crashes.book.lasting(), [peer])
+        self._send_reports(self._view.crashes.book.repeated_digests(), [peer])
 
     def _zone_peers(self) -> list[Peer]:
-        return self._book.present_near(self._view.clock.now())
+        return self._book.present_zone_peers(self._view.clock.now())
 
     def _send_reports(self, digests: Iterable[str], peers: list[Peer]) -> None:
         reports = [self._view.crashes.report(digest) for digest in digests]
@@ -74,12 +74,12 @@
 def _batches(reports: Iterable[CrashReport]) -> Iterator[list[CrashReport]]:
     """Yield reports in batches that each fit a datagram."""
     batch: list[CrashReport] = []
-    free_bytes = NEWS_BYTES
+    free_bytes = MAX_UPDATE_BYTES
     for report in reports:
         size = len(msgspec.msgpack.encode(report))
         if size > free_bytes and batch:
             yield batch
-            batch, free_bytes = [], NEWS_BYTES
+            batch, free_bytes = [], MAX_UPDATE_BYTES
         batch.append(report)
         free_bytes -= size
     if batch:
--- a/radishfield/forwarding/_crash_records.py
+++ b/radishfield/forwarding/_crash_records.py
@@ -12,7 +12,7 @@
 from expression import Result
 
 from radishfield.core import Fault, ResultCode
-from radishfield.crashes import REFUSED_S, CrashReport, ToldEnd
+from radishfield.crashes import REFUSED_S, CrashReport, TargetCrashEntry
 from radishfield.forwarding._view import RouterView
 from radishfield.platform import ObjectStore, StoredValue
 from radishfield.telemetry import log_event
@@ -97,7 +97,7 @@
                 _log_fault("crashes.unremoved", removed.error, value.name)
             return
         ends = [
-            ToldEnd(end.target, end.started_ms, end.told_by, age_s)
+            TargetCrashEntry(end.target, end.started_ms, end.told_by, age_s)
             for end, age_s in zip(body.ends, ages, strict=True)
         ]
         self._view.crashes.learn([CrashReport(value.name, ends)], "store")
--- a/radishfield/forwarding/_crash_watch.py
+++ b/radishfield/forwarding/_crash_watch.py
@@ -48,7 +48,9 @@
             failures += 1
             await trio.sleep(backoff_s(failures, self._view.chance))
 
-    async def note_end(self, call: Call, record: TargetRecord, problem: Fault) -> None:
+    async def check_failed_attempt(
+        self, call: Call, record: TargetRecord, problem: Fault
+    ) -> None:
         """Check the target of a failed attempt if it may have crashed."""
         if not self._may_have_crashed(record, problem):
             return
@@ -64,7 +66,7 @@
             # Work that outlasts its target's notice is aborted when the target exits.
             return False
         if problem.code is ResultCode.STREAM_SILENT:
-            return directory.found_lost(record.id)
+            return directory.found_unreachable(record.id)
         return problem.code in BROKEN_CODES
 
     async def _check_target(
--- a/radishfield/forwarding/_follower.py
+++ b/radishfield/forwarding/_follower.py
@@ -241,7 +241,7 @@
         for value in found[-1:]:
             self._view.config_reads += 1
             usable = self._adopt(value, requested_at)
-            if usable and self._view.watch_duty.tells_others:
+            if usable and self._view.watch_duty.reports_to_zone:
                 version = self._view.table.config.version
                 self._view.config_updates.add(ConfigUpdate(version, value))
         if usable and self._view.table is not None:
@@ -338,7 +338,7 @@
         log_event(
             "targets.listed", targets=len(record_by_id), revision=listing.revision
         )
-        self._view.free_room()
+        self._view.notify_capacity_freed()
 
     def _apply_changes(self, changes: Changes, requested_at: float) -> None:
         self._view.targets_confirmed_at = requested_at
@@ -356,7 +356,7 @@
                 revision = self._revision_by_id[value.name]
                 self._view.target_updates.add(TargetUpdate(value.name, revision, spec))
         if changes.changes:
-            self._view.free_room()
+            self._view.notify_capacity_freed()
 
     def _apply_peer_updates(self, items: list[TargetUpdate]) -> None:
         """Apply updates from another host, which may arrive late or twice."""
@@ -371,7 +371,7 @@
                 self._remove(item.target_id, item.revision)
             else:
                 self._update(StoredValue(item.target_id, item.revision, item.spec))
-        self._view.free_room()
+        self._view.notify_capacity_freed()
 
     def _update(self, value: StoredValue) -> bool:
         """Apply a target's entry; return whether the list changed."""
@@ -414,7 +414,7 @@
         )
 
     def _handle_failure(self, problem: Fault) -> None:
-        self._view.directory.store_failed(self._view.clock.now())
+        self._view.directory.record_store_failure(self._view.clock.now())
 
     async def _expire(self) -> None:
         while True:
--- a/radishfield/forwarding/_gossip.py
+++ b/radishfield/forwarding/_gossip.py
@@ -26,12 +26,12 @@
 from radishfield.forwarding._peer_messages import (
     DATAGRAM_BYTES,
     Echo,
-    Pace,
     PeerConfig,
     PeerCrashes,
     PeerStatus,
     PeerTargetUpdates,
     PeerZoneTotal,
+    TargetSlowdown,
     Use,
     config_datagram,
     decoder,
@@ -45,7 +45,7 @@
 from radishfield.routing import (
     Pair,
     PeerConfirmation,
-    ZoneSum,
+    ZoneTotal,
     confirmed_by_peer_at,
 )
 from radishfield.telemetry import DeferredTelemetry, log_event
@@ -149,7 +149,7 @@
                 nursery.start_soon(self._send_statuses)
                 nursery.start_soon(self._send_target_updates)
                 nursery.start_soon(self._send_config)
-                nursery.start_soon(self._crashes.tell_news)
+                nursery.start_soon(self._crashes.send_new_reports)
                 nursery.start_soon(self._finder.find)
                 task_status.started()
 
@@ -165,7 +165,7 @@
             self._view.load.told_own(self._view.clock.now())
             self._view.links.told_own(self._view.clock.now())
             self._send(status, recipients)
-            if self._view.watch_duty.tells_others:
+            if self._view.watch_duty.reports_to_zone:
                 self._send_zone_totals(recipients)
             self._view.load.add_up(self._view.zone, self._view.clock.now())
             self._view.links.advance(self._view.clock.now(), self._view.zone)
@@ -191,8 +191,8 @@
         load, links = self._view.load, self._view.links
         now, zone = self._view.clock.now(), self._view.zone
         hosts = self._book.own_zone_peers()
-        load.sums.take(zone, ZoneSum(now, load.sum_of(hosts)))
-        links.sums.take(zone, ZoneSum(now, links.sum_of(hosts, now)))
+        load.sums.take(zone, ZoneTotal(now, load.sum_of(hosts)))
+        links.sums.take(zone, ZoneTotal(now, links.sum_of(hosts, now)))
         own_zone = [peer for peer in recipients if peer.zone == zone]
         link_sums = links.sums.fresh(now)
         for summed_zone, total in load.sums.fresh(now).items():
@@ -211,7 +211,7 @@
                 continue
             self._send(data, own_zone)
             if summed_zone == zone and self._round % TOTALS_EVERY == 0:
-                self._send(data, self._book.far_watchers())
+                self._send(data, self._book.remote_watchers())
 
     async def _send_target_updates(self) -> None:
         """Forward changes of targets in the store to every host of the zone."""
@@ -219,7 +219,7 @@
             await self._view.target_updates.wait()
             await trio.sleep(UPDATE_COALESCE_S)
             updates = self._view.target_updates.take()
-            peers = self._book.present_near(self._view.clock.now())
+            peers = self._book.present_zone_peers(self._view.clock.now())
             for datagram in update_datagrams(updates):
                 self._send(datagram, peers)
 
@@ -231,7 +231,7 @@
             value = update.value
             data = config_datagram(update.version, value.revision, value.spec)
             if data is not None:
-                self._send(data, self._book.present_near(self._view.clock.now()))
+                self._send(data, self._book.present_zone_peers(self._view.clock.now()))
 
     def _send(self, data: bytes, peers: Iterable[Peer]) -> None:
         self._socket.send(data, [peer.address for peer in peers])
@@ -245,7 +245,7 @@
                 self._address,
                 encode_work(self._view.load.own_by_id),
                 self._view.directory.leaving_incarnations(),
-                self._view.directory.lost_incarnations(now),
+                self._view.directory.unreachable_incarnations(now),
                 self._duties(),
                 now,
                 self._version(),
@@ -265,7 +265,7 @@
                     for duty, received_at in self._duty_received_at.items()
                     if now - received_at < FORWARD_DUTY_S
                 ],
-                self._view.directory.answered_lately(now),
+                self._view.directory.recently_answered(now),
                 self._paces(now),
                 self._view.crashes.book.checksum(),
             )
@@ -281,13 +281,13 @@
             received = sorted(received, reverse=True)[:MAX_ECHOES]
         return [Echo(host_id, sent_at) for _, host_id, sent_at in received]
 
-    def _paces(self, now: float) -> list[Pace]:
+    def _paces(self, now: float) -> list[TargetSlowdown]:
         return [
-            Pace(target_id, round(pace, 2), round(age_s, 2))
+            TargetSlowdown(target_id, round(pace, 2), round(age_s, 2))
             for target_id, pace, age_s in self._view.paces.known(now)
         ][:MAX_PACES]
 
-    def _record_paces(self, paces: list[Pace]) -> None:
+    def _record_paces(self, paces: list[TargetSlowdown]) -> None:
         now = self._view.clock.now()
         for item in paces:
             self._view.paces.note(item.target_id, item.pace, now - max(0.0, item.age_s))
@@ -323,9 +323,11 @@
 
     def _apply_zone_total(self, message: PeerZoneTotal) -> None:
         at = self._view.clock.now() - max(0.0, message.age_s)
-        self._view.load.sums.take(message.zone, ZoneSum(at, decode_work(message.work)))
+        self._view.load.sums.take(
+            message.zone, ZoneTotal(at, decode_work(message.work))
+        )
         self._view.links.sums.take(
-            message.zone, ZoneSum(at, decode_link_shares(message.links))
+            message.zone, ZoneTotal(at, decode_link_shares(message.links))
         )
         self._record_paces(message.paces)
 
@@ -345,7 +347,7 @@
         if status.store_silent_s >= 0:
             peer.store_silent_s = status.store_silent_s
         peer.watches = status.watches
-        if self._view.watch_duty.heard_version(status.config_version, now):
+        if self._view.watch_duty.record_peer_version(status.config_version, now):
             self._view.wake_followers()
         echoed_at = self._echoed_at(status, now)
         if echoed_at is not None:
@@ -398,7 +400,7 @@
         An update often arrives after the confirmation of a watcher that has it.
         """
         for confirmation in list(self._list_confirmations):
-            if self._view.directory.has_had(confirmation.digest):
+            if self._view.directory.matches_recent_digest(confirmation.digest):
                 self._list_confirmations.remove(confirmation)
                 age_s = confirmation.age_s + now - confirmation.received_at
                 self._view.watch_duty.told(True, age_s, confirmation.received_at)
@@ -423,7 +425,7 @@
         )
         confirmed_at = confirmed_by_peer_at(confirmation, self._version())
         if confirmed_at is not None:
-            self._view.freshness.confirm_by_peer(confirmed_at)
+            self._view.freshness.record_confirmation(confirmed_at)
 
     def _update_peer_summary(self) -> None:
         """Record how many hosts are alive, and how recently one reached the store."""
@@ -460,7 +462,7 @@
         if record is None or record.started_ms != started_ms:
             return
         if not directory.suspected(target_id, now):
-            directory.doubt(target_id, now)
+            directory.exclude_until_probed(target_id, now)
             log_event(
                 "target.reported_lost",
                 target=target_id,
@@ -471,7 +473,7 @@
     def _merge_answered(self, target_id: str, started_ms: int, now: float) -> None:
         record = self._view.directory.find(target_id)
         if record is not None and record.started_ms == started_ms:
-            self._view.directory.answered_elsewhere(target_id, now)
+            self._view.directory.record_answer_elsewhere(target_id, now)
 
 
 def _or_negative(age_s: float) -> float:
--- a/radishfield/forwarding/_peer_messages.py
+++ b/radishfield/forwarding/_peer_messages.py
@@ -9,7 +9,7 @@
 from radishfield.telemetry import log_event
 
 DATAGRAM_BYTES = 8 << 10
-NEWS_BYTES = DATAGRAM_BYTES - 64
+MAX_UPDATE_BYTES = DATAGRAM_BYTES - 64
 """Space for items in a datagram; the rest is for the frame around them."""
 MAX_CONFIG_BYTES = 1 << 20
 """Maximum size of a decompressed configuration; the store holds no longer ones."""
@@ -40,7 +40,7 @@
     share: float
 
 
-class Pace(msgspec.Struct, array_like=True):
+class TargetSlowdown(msgspec.Struct, array_like=True):
     """Slowdown factor of a target against others of its kind, ``age_s`` ago."""
 
     target_id: str
@@ -104,7 +104,7 @@
     age_s: float
     work: list[Work]
     links: list[LinkShare] = []
-    paces: list[Pace] = []
+    paces: list[TargetSlowdown] = []
 
 
 class PeerStatus(msgspec.Struct, array_like=True, tag="status"):
@@ -154,7 +154,7 @@
     targets_age_s: float = -1.0
     forwarded_duties: list[str] = []
     answered: list[tuple[str, int]] = []
-    paces: list[Pace] = []
+    paces: list[TargetSlowdown] = []
     crashes_checksum: int = 0
 
 
@@ -175,7 +175,7 @@
         # JSON allows larger numbers than MessagePack.
         log_event("config.unsendable", version=version, detail=str(problem))
         return None
-    if len(body) > NEWS_BYTES:
+    if len(body) > MAX_UPDATE_BYTES:
         log_event("config.too_long", version=version, bytes=len(body))
         return None
     return encoder.encode(PeerConfig(version, revision, body))
@@ -208,10 +208,10 @@
             # Entries may have other writers, and JSON allows larger numbers.
             log_event("news.unsendable", target=item.target_id, detail=str(problem))
             continue
-        if length > NEWS_BYTES:
+        if length > MAX_UPDATE_BYTES:
             log_event("news.too_long", target=item.target_id, bytes=length)
             continue
-        if size + length > NEWS_BYTES:
+        if size + length > MAX_UPDATE_BYTES:
             yield encoder.encode(PeerTargetUpdates(chunk))
             chunk, size = [], 0
         chunk.append(item)
--- a/radishfield/forwarding/_peers.py
+++ b/radishfield/forwarding/_peers.py
@@ -81,7 +81,7 @@
             if peer.zone == self._zone
         }
 
-    def present_near(self, now: float) -> list[Peer]:
+    def present_zone_peers(self, now: float) -> list[Peer]:
         """Return the hosts of the own zone that receive updates."""
         return [peer for peer in self.own_zone_peers().values() if peer.is_present(now)]
 
@@ -101,7 +101,7 @@
             if peer.is_present(now)
         ]
 
-    def far_watchers(self) -> list[Peer]:
+    def remote_watchers(self) -> list[Peer]:
         """Return the hosts of other zones that follow the store or probably do."""
         remote = {
             host_id: peer
@@ -152,7 +152,7 @@
             return own_zone + self._rng.sample(
                 remote, min(REMOTE_ZONE_FANOUT, len(remote))
             )
-        return own_zone + self.far_watchers() if has_duties else own_zone
+        return own_zone + self.remote_watchers() if has_duties else own_zone
 
     def count_hosts(self, now: float) -> int:
         """Return the number of hosts that share retry budgets, this one included."""
--- a/radishfield/forwarding/_placer.py
+++ b/radishfield/forwarding/_placer.py
@@ -16,7 +16,7 @@
 from radishfield.forwarding._lease import PlacementLease
 from radishfield.forwarding._targets import Targets, order_status
 from radishfield.forwarding._view import RouterView
-from radishfield.platform import ObjectStore, place_order
+from radishfield.platform import ObjectStore, encode_place_order
 from radishfield.routing import (
     Assignment,
     EngineSpec,
@@ -304,7 +304,7 @@
         if report.ok.busy or report.ok.span != target.span:
             # The target list is outdated: the target holds or loads other layers.
             return
-        body = place_order(assignment.span, fence, report.ok.order_count)
+        body = encode_place_order(assignment.span, fence, report.ok.order_count)
         answer = await self._targets.order(target, body)
         load_s = engine.load_s * len(assignment.span) / engine.layers
         # An unanswered order may be executed late or never, so the loads of other
--- a/radishfield/forwarding/_plain.py
+++ b/radishfield/forwarding/_plain.py
@@ -106,7 +106,7 @@
             record = self._choose(call)
             if record is None:
                 break
-            if call.sent and not self._targets.may_repeat(call, attempts.problem):
+            if call.sent and not self._targets.may_retry(call, attempts.problem):
                 break
             result = await self._attempt(call, record, may_hedge=attempts.runs == 0)
             if not _failed(result):
@@ -169,7 +169,7 @@
             return None
         other = self._choose(call)
         silent = fault(ResultCode.STREAM_SILENT)
-        if other is None or not self._targets.may_repeat(call, silent):
+        if other is None or not self._targets.may_retry(call, silent):
             return None
         return other
 
@@ -197,9 +197,9 @@
             self._view.load.ended(record.id, 0.0, first=True)
         self._note(record, result)
         if not _failed(result):
-            self._view.crashes.outlived(call.digest, call.facts.request_id)
+            self._view.crashes.record_survival(call.digest, call.facts.request_id)
         elif result.is_error():
-            await self._crashes.note_end(call, record, result.error)
+            await self._crashes.check_failed_attempt(call, record, result.error)
         return result
 
     async def _exchange(
--- a/radishfield/forwarding/_slow_targets.py
+++ b/radishfield/forwarding/_slow_targets.py
@@ -7,7 +7,7 @@
 from radishfield.forwarding._active_stream import ActiveStream
 from radishfield.forwarding._targets import Targets
 from radishfield.forwarding._view import RouterView
-from radishfield.routing import NORMAL_PACE, TargetReport, path_ms
+from radishfield.routing import MAX_NORMAL_SLOWDOWN, TargetReport, path_ms
 from radishfield.telemetry import log_event
 
 CHECK_INTERVAL_S = 0.25
@@ -61,7 +61,7 @@
         """Record a target's slowdown factor; log it if it became slow or healthy."""
         if not self._view.paces.note(target_id, report.pace, self._view.clock.now()):
             return
-        is_slow = report.pace > NORMAL_PACE
+        is_slow = report.pace > MAX_NORMAL_SLOWDOWN
         self.found_count += is_slow
         log_event(
             "target.slow" if is_slow else "target.well",
--- a/radishfield/forwarding/_stream_paths.py
+++ b/radishfield/forwarding/_stream_paths.py
@@ -14,7 +14,7 @@
     FailureRates,
     LayerSpan,
     Path,
-    PathPart,
+    PathStage,
     QueueEntry,
     TargetDirectory,
     choose_target,
@@ -112,7 +112,10 @@
             call.route.caller_patience_s,
         )
         try:
-            if queue.is_hopeless(entry, view.clock.now()) and not progress.has_started:
+            if (
+                queue.expects_timeout(entry, view.clock.now())
+                and not progress.has_started
+            ):
                 return Error(self._full_fault(queue, entry))
             while True:
                 if not self._is_covered(call, engine):
@@ -131,7 +134,7 @@
                 if queue.has_expired(entry, view.clock.now()):
                     return Error(self._full_fault(queue, entry))
                 with trio.move_on_after(RECHECK_S):
-                    await view.room_freed.wait()
+                    await view.capacity_freed.wait()
         finally:
             queue.leave(entry)
             call.times.queued_s += view.clock.now() - entry.since
@@ -153,7 +156,7 @@
         )
         if record is None:
             return Error(fault(ResultCode.NO_TARGET, "", NO_PATH_RETRY_S))
-        return Ok((PathPart(record.id, record.address, WHOLE_MODEL),))
+        return Ok((PathStage(record.id, record.address, WHOLE_MODEL),))
 
     def _find_path(
         self,
@@ -162,7 +165,7 @@
         progress: StreamProgress,
         attempts: StreamAttempts,
     ) -> Path | None:
-        with_capacity = self._view.usable_with_room(call.service.name)
+        with_capacity = self._view.usable_with_capacity(call.service.name)
         first_ids = _allowed_first_ids(call, self._view.directory)
         # A first target of a failed attempt may be healthy if a later stage failed.
         excluded = attempts.excluded - (first_ids or set())
--- a/radishfield/forwarding/_stream_progress.py
+++ b/radishfield/forwarding/_stream_progress.py
@@ -47,8 +47,8 @@
         """Return the tokens that the request will hold at each target of its path."""
         facts = self._call.facts
         if engine is None:
-            return Demand(facts.prompt_tokens, facts.likely_answer_tokens)
-        answer = facts.likely_answer_tokens or engine.usual_answer
-        if facts.most_answer_tokens:
-            answer = min(answer, facts.most_answer_tokens)
+            return Demand(facts.prompt_tokens, facts.expected_answer_tokens)
+        answer = facts.expected_answer_tokens or engine.usual_answer
+        if facts.max_answer_tokens:
+            answer = min(answer, facts.max_answer_tokens)
         return Demand(facts.prompt_tokens or engine.usual_prompt, answer)
--- a/radishfield/forwarding/_stream_tries.py
+++ b/radishfield/forwarding/_stream_tries.py
@@ -6,7 +6,7 @@
 from radishfield.core import Fault, ResultCode
 from radishfield.forwarding._call import Call
 from radishfield.forwarding._tries import Attempts, target_error
-from radishfield.forwarding._view import FULL_S, LONGEST_FULL_S
+from radishfield.forwarding._view import FULL_S, MAX_FULL_S
 from radishfield.routing import RouteRule
 
 NO_PATH_RETRY_S = 0.8
@@ -82,7 +82,7 @@
         Each retry uses retry budget that another stream then lacks.
         """
         excess = self.refusals - MAX_REFUSALS
-        return min(LONGEST_FULL_S, FULL_S * 2 ** (excess - 1)) if excess > 0 else 0.0
+        return min(MAX_FULL_S, FULL_S * 2 ** (excess - 1)) if excess > 0 else 0.0
 
     def allows_retry(self, route: RouteRule) -> bool:
         """Return whether another attempt may follow the running one."""
--- a/radishfield/forwarding/_streams.py
+++ b/radishfield/forwarding/_streams.py
@@ -67,7 +67,7 @@
             try:
                 problem = await self._run_attempts(call, progress)
             finally:
-                self._targets.release_repeat(call)
+                self._targets.release_retry(call)
             if problem is not None:
                 await call.responder.refuse(problem)
             return
@@ -75,7 +75,7 @@
         if not call.may_have_run:
             code = ResultCode.EXPIRED_IN_QUEUE
         queue = self._view.admission_queue(call.service.name)
-        retry_s = LATE_RETRY_SHARE * queue.usual_stream_s
+        retry_s = LATE_RETRY_SHARE * queue.typical_stream_s
         await call.responder.refuse(fault(code, "", retry_s))
 
     async def _run_attempts(self, call: Call, progress: StreamProgress) -> Fault | None:
@@ -94,7 +94,7 @@
             stop = self._targets.check(call)
             if stop is not None:
                 return final_fault(call, stop, NO_PATH_RETRY_S)
-            if call.sent and not self._targets.may_repeat(call, attempts.problem):
+            if call.sent and not self._targets.may_retry(call, attempts.problem):
                 if await self._wait_for_retry(call):
                     continue
                 return final_fault(call, attempts.problem, NO_PATH_RETRY_S)
@@ -130,7 +130,7 @@
             return False
         while self._view.clock.now() < call.caller_timeout_at:
             await trio.sleep(RECHECK_S)
-            if self._targets.reserve_repeat(call):
+            if self._targets.reserve_retry(call):
                 return True
         return False
 
@@ -156,7 +156,7 @@
             return stop.detail or stop.code.name.lower()
         if not self._paths.has_alternative(call, engine, first_id):
             return "no other path"
-        if not self._targets.reserve_repeat(call):
+        if not self._targets.reserve_retry(call):
             return "no retry budget left"
         return ""
 
@@ -227,7 +227,7 @@
             self._watchdog.remove(stream)
         if result.is_error():
             if not stream.outlived_start:
-                await self._crashes.note_end(call, record, result.error)
+                await self._crashes.check_failed_attempt(call, record, result.error)
             log_event(
                 "attempt.ended",
                 request=call.facts.request_id,
@@ -289,7 +289,7 @@
                     )
         except BrokenAnswerError as problem:
             return Error(fault(ResultCode.STREAM_BROKEN, str(problem)))
-        if splitter.torn:
+        if splitter.has_incomplete_event:
             return Error(fault(ResultCode.ANSWER_TRUNCATED, "ended within an event"))
         if not stream.has_events:
             # A stream that is resumed after its last event has nothing left to send.
@@ -297,7 +297,7 @@
                 return Error(fault(ResultCode.ANSWER_TRUNCATED, "ended without events"))
             await self._start(call, exchange)
         else:
-            self._view.crashes.outlived(call.digest, call.facts.request_id)
+            self._view.crashes.record_survival(call.digest, call.facts.request_id)
         await call.responder.end_stream()
         return Ok(None)
 
@@ -312,7 +312,7 @@
         outlived_before = stream.outlived_start
         stream.note_event(self._view.clock.now())
         if stream.outlived_start and not outlived_before:
-            self._view.crashes.outlived(call.digest, call.facts.request_id)
+            self._view.crashes.record_survival(call.digest, call.facts.request_id)
         if call.responder.started:
             await call.responder.send_events(events)
             return
--- a/radishfield/forwarding/_target_ends.py
+++ b/radishfield/forwarding/_target_ends.py
@@ -9,7 +9,7 @@
 import trio
 
 from radishfield.core import ResultCode
-from radishfield.crashes import listens
+from radishfield.crashes import is_listening
 from radishfield.forwarding._targets import Targets
 from radishfield.routing import TargetRecord
 from radishfield.telemetry import log_event
@@ -49,7 +49,7 @@
         return probe.state
 
     async def _probe(self, record: TargetRecord) -> TargetState:
-        is_open = await listens(*split_address(record.address))
+        is_open = await is_listening(*split_address(record.address))
         if is_open is None:
             return TargetState.UNKNOWN
         # A target that only refuses new connections still serves on kept ones.
--- a/radishfield/forwarding/_targets.py
+++ b/radishfield/forwarding/_targets.py
@@ -11,7 +11,7 @@
 from radishfield.platform import (
     ORDER_PATH,
     REPORT_PATH,
-    SendFacts,
+    TargetRequestFacts,
     decode_report,
     order_headers,
     target_headers,
@@ -95,10 +95,10 @@
             case workspace:
                 call.workspace = workspace
         if not self._view.freshness.admits_keys(call.arrived_at):
-            return stale_view(self._view)
+            return stale_config_fault(self._view)
         return None
 
-    def may_repeat(self, call: Call, problem: Fault) -> bool:
+    def may_retry(self, call: Call, problem: Fault) -> bool:
         """Take a retry from the retry budget; False if none is left.
 
         Parameters
@@ -109,16 +109,16 @@
         if call.arrived == 0:
             # No attempt has reached a target, so the next one is not a retry.
             return True
-        if not self.reserve_repeat(call):
+        if not self.reserve_retry(call):
             self._telemetry.refused(ResultCode.RETRY_BUDGET_SPENT)
             log_event(
                 "retry.refused",
                 request=call.facts.request_id,
                 hosts=self._view.hosts,
-                left=round(self._view.repeats_left(call.service.name), 1),
+                left=round(self._view.retries_left(call.service.name), 1),
             )
             return False
-        call.repeat_reserved = False
+        call.retry_reserved = False
         self._telemetry.retried(problem.code)
         log_event(
             "attempt.repeated",
@@ -128,16 +128,16 @@
         )
         return True
 
-    def reserve_repeat(self, call: Call) -> bool:
+    def reserve_retry(self, call: Call) -> bool:
         """Reserve a retry that is sent later; False if none is left."""
-        if not call.repeat_reserved:
-            call.repeat_reserved = self._view.take_repeat(call.service.name)
-        return call.repeat_reserved
+        if not call.retry_reserved:
+            call.retry_reserved = self._view.take_retry(call.service.name)
+        return call.retry_reserved
 
-    def release_repeat(self, call: Call) -> None:
+    def release_retry(self, call: Call) -> None:
         """Return a retry to the budget that was reserved and never sent."""
-        if call.repeat_reserved:
-            call.repeat_reserved = False
+        if call.retry_reserved:
+            call.retry_reserved = False
             self._view.budget(call.service.name).give_back()
 
     async def send(
@@ -149,7 +149,7 @@
     ) -> Result[Exchange, Fault]:
         """Send a call to one target, and check that the answer belongs to it."""
         now = self._view.clock.now()
-        facts = SendFacts(
+        facts = TargetRequestFacts(
             target_id=record.id,
             remaining_s=call.deadline_at - now,
             workspace=call.workspace.name if call.workspace else None,
@@ -165,7 +165,7 @@
         )
         budget = self._view.budget(call.service.name)
         if call.sent == 0:
-            budget.first_try(now)
+            budget.record_first_attempt(now)
         call.sent += 1
         call.tried.add(record.id)
         ran_there_before = record.id in call.ran_at
@@ -317,7 +317,7 @@
     return fault(ResultCode.NO_TARGET, problem.detail, retry_s)
 
 
-def stale_view(view: RouterView) -> Fault:
+def stale_config_fault(view: RouterView) -> Fault:
     """Return the refusal of a key that this host may be too outdated to know.
 
     If other hosts reach the store, one of them serves a caller that retries at once;
--- a/radishfield/forwarding/_view.py
+++ b/radishfield/forwarding/_view.py
@@ -16,30 +16,30 @@
 from radishfield.limits import RetryAllowance, RetryBudget, RetryUse
 from radishfield.platform import StoredValue
 from radishfield.routing import (
-    BLIND_SPREAD,
-    TELL_S,
-    UNSEEN_S,
+    ANNOUNCE_DELAY_S,
+    REMOTE_STATE_AGE_S,
+    STARTUP_SPREAD,
     AdmissionQueue,
     CrossingGate,
     EngineSpec,
     Freshness,
     LinkUsage,
     LoadTable,
-    Paces,
     Pair,
     Path,
     PathFinder,
     RouteRule,
     RoutingTable,
     ServiceSpec,
+    SlowdownTable,
     TargetDirectory,
     TargetRecord,
     WatchDuty,
     choice_spread,
     draw,
     ends_waits,
+    free_prompt_capacity,
     pair_of,
-    room_prompts,
     sends_callers_away,
     takes_work,
 )
@@ -60,7 +60,7 @@
 FULL_S = 0.25
 """Time after which a full target may have free capacity again: at a busy target a
 request of typical size ends every few hundredths of a second."""
-LONGEST_FULL_S = 1.0
+MAX_FULL_S = 1.0
 
 
 class FullTarget(msgspec.Struct, frozen=True):
@@ -174,13 +174,13 @@
     load: LoadTable = msgspec.field(default_factory=LoadTable)
     links: LinkUsage = msgspec.field(default_factory=LinkUsage)
     gate: CrossingGate = msgspec.field(default_factory=CrossingGate)
-    paces: Paces = msgspec.field(default_factory=Paces)
+    paces: SlowdownTable = msgspec.field(default_factory=SlowdownTable)
     hosts: int = 1
     leaving_since: float | None = None
     in_flight: int = 0
     streams_cut: int = 0
     chance: random.Random = msgspec.field(default_factory=random.Random)
-    room_freed: trio.Event = msgspec.field(default_factory=trio.Event)
+    capacity_freed: trio.Event = msgspec.field(default_factory=trio.Event)
     store_back: trio.Event = msgspec.field(default_factory=trio.Event)
     followers_woken: trio.Event = msgspec.field(default_factory=trio.Event)
     peers: PeerView = msgspec.field(default_factory=PeerView)
@@ -193,7 +193,7 @@
     )
     host_id: str = ""
     crashes: CrashGuard | None = None
-    crash_news: UpdateBuffer[str] = msgspec.field(default_factory=UpdateBuffer)
+    crash_updates: UpdateBuffer[str] = msgspec.field(default_factory=UpdateBuffer)
     config_reads: int = 0
     targets_confirmed_at: float = -math.inf
     on_target_updates: Callable[[list[TargetUpdate]], None] = lambda items: None
@@ -206,7 +206,7 @@
     def __post_init__(self):
         if self.crashes is None:
             self.crashes = CrashGuard(self.host_id, self.clock)
-        self.crashes.tell = self.crash_news.add
+        self.crashes.tell = self.crash_updates.add
 
     @property
     def leaving(self) -> bool:
@@ -241,12 +241,12 @@
             peers.ever_heard,
         )
 
-    def take_repeat(self, service: str) -> bool:
+    def take_retry(self, service: str) -> bool:
         """Take one retry out of the budget that all hosts share."""
         others = self._reported_uses(service)
         return self.budget(service).take(self.clock.now(), self.hosts, others)
 
-    def repeats_left(self, service: str) -> float:
+    def retries_left(self, service: str) -> float:
         """Return the retries that are left for all hosts together."""
         others = self._reported_uses(service)
         return self.budget(service).left(self.clock.now(), self.hosts, others)
@@ -276,10 +276,10 @@
         before = self.full_by_id.get(target_id)
         length_s = FULL_S
         if before is not None and now < before.until + before.length_s:
-            length_s = min(LONGEST_FULL_S, before.length_s * 2)
+            length_s = min(MAX_FULL_S, before.length_s * 2)
         self.full_by_id[target_id] = FullTarget(now + length_s, length_s)
 
-    def usable_with_room(self, service: str) -> list[TargetRecord]:
+    def usable_with_capacity(self, service: str) -> list[TargetRecord]:
         """Return the usable targets that did not refuse work just now."""
         now = self.clock.now()
         return [
@@ -307,7 +307,7 @@
         for pair in self._pairs() - closed:
             if not self._may_cross(engine, pair, shares.get(pair, 0.0), moving_streams):
                 closed.add(pair)
-        spread = BLIND_SPREAD
+        spread = STARTUP_SPREAD
         if not self._lacks_remote_state():
             spread = choice_spread(self._unreported_starts(service) + moving_streams)
         return PathFinder(
@@ -322,18 +322,18 @@
 
     def _unreported_starts(self, service: str) -> float:
         """Return the number of streams at all hosts that are not reported yet."""
-        typical_s = self.admission_queue(service).usual_stream_s
-        by_work = self.load.streams() / typical_s * UNSEEN_S
+        typical_s = self.admission_queue(service).typical_stream_s
+        by_work = self.load.streams() / typical_s * REMOTE_STATE_AGE_S
         return max(by_work, self.hosts * UNREPORTED_SHARE)
 
     def _may_cross(
         self, engine: EngineSpec, pair: Pair, share: float, moving_streams: int
     ) -> bool:
-        capacity = room_prompts(share, engine.transfer_ms(engine.usual_prompt))
+        capacity = free_prompt_capacity(share, engine.transfer_ms(engine.usual_prompt))
         if moving_streams:
             return draw(capacity, moving_streams, self.chance)
         now = self.clock.now()
-        own_crossings = self.links.own_crossings(pair, now - TELL_S)
+        own_crossings = self.links.own_crossings(pair, now - ANNOUNCE_DELAY_S)
         waiting = sum(len(queue) for queue in self._queue_by_service.values())
         contenders = self.hosts * (own_crossings + waiting)
         return self.gate.is_open(pair, capacity, contenders, now, self.chance)
@@ -392,7 +392,7 @@
         event, self.followers_woken = self.followers_woken, trio.Event()
         event.set()
 
-    def free_room(self) -> None:
+    def notify_capacity_freed(self) -> None:
         """Wake the requests that wait for a target."""
-        event, self.room_freed = self.room_freed, trio.Event()
+        event, self.capacity_freed = self.capacity_freed, trio.Event()
         event.set()
--- a/radishfield/forwarding/_watchdog.py
+++ b/radishfield/forwarding/_watchdog.py
@@ -10,7 +10,7 @@
 from radishfield.forwarding._slow_targets import SlowTargets
 from radishfield.forwarding._targets import REPORT_TIMEOUT_S, Targets, order_status
 from radishfield.forwarding._view import RouterView
-from radishfield.platform import repath_order
+from radishfield.platform import encode_repath_order
 from radishfield.routing import (
     Ask,
     GiveUp,
@@ -18,7 +18,7 @@
     StreamSilence,
     TargetRecord,
     TargetReport,
-    next_look_s,
+    next_check_s,
     next_step,
     targets_to_probe,
 )
@@ -94,7 +94,7 @@
         """Stop watching a stream."""
         self._streams.discard(stream)
         self._count(stream, stream.path, self._view.load.ended)
-        self._view.free_room()
+        self._view.notify_capacity_freed()
 
     async def run(self, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED):
         """Watch until cancelled."""
@@ -114,7 +114,7 @@
                 self._measure_zones()
                 self._slow_targets.check(self._streams, nursery)
                 silences = silence_by_stream.values()
-                pause_s = next_look_s(silences, MIN_TICK_S, MAX_TICK_S)
+                pause_s = next_check_s(silences, MIN_TICK_S, MAX_TICK_S)
                 if has_more_due:
                     pause_s = MIN_TICK_S
 
@@ -184,7 +184,7 @@
             self._drop_first_target(
                 target_id, f"probe: {report.error.detail}", waited_s
             )
-            self._lose_part(record.address)
+            self._avoid_stage(record.address)
 
     def _has_event_since(self, target_id: str, sent_at: float) -> bool:
         """Return whether an event arrived through a target after a query was sent."""
@@ -239,7 +239,7 @@
         if record is None:
             # A delisted target finishes its streams, or its connections break.
             return
-        if self._view.directory.found_lost(first_id):
+        if self._view.directory.found_unreachable(first_id):
             # The target is excluded already, so only an answer is new information.
             report = await self._targets.report(record)
         else:
@@ -268,12 +268,12 @@
         }
         for address in addresses:
             if address:
-                self._lose_part(address)
+                self._avoid_stage(address)
 
     def _drop_first_target(self, first_id: str, detail: str, waited_s: float) -> None:
         """Abandon the streams whose first target does not answer."""
         left_out_s = self._view.directory.suspect(
-            first_id, self._clock.now(), until_asked=True
+            first_id, self._clock.now(), until_answered=True
         )
         log_event(
             "target.silent",
@@ -288,14 +288,14 @@
             if stream.path[0].target_id == first_id and silent_s > MIN_TICK_S * 2:
                 self._abandon(stream, "first target silent", target_unreachable=True)
 
-    def _lose_part(self, address: str) -> None:
+    def _avoid_stage(self, address: str) -> None:
         """Move every stream that uses a crashed stage around it."""
         record = self._view.directory.at_address(address)
         movers = 0
         if record is not None:
             movers = self._view.load.held(record.id).requests
             left_out_s = self._view.directory.suspect(
-                record.id, self._clock.now(), until_asked=True
+                record.id, self._clock.now(), until_answered=True
             )
             log_event(
                 "target.stalled",
@@ -332,7 +332,7 @@
             path = self._alternative_path(stream, bad_addresses, movers)
             if path is None:
                 return False
-            order = repath_order(stream.call.facts.request_id, path)
+            order = encode_repath_order(stream.call.facts.request_id, path)
             answer = await self._targets.order(first, order)
             status = order_status(answer)
             log_event(
--- a/radishfield/forwarding/answers_kept_test.py
+++ b/radishfield/forwarding/answers_kept_test.py
@@ -227,7 +227,7 @@
                 await trio.sleep(0.06)
             monkeypatch.setattr(LayeredTarget, "_serve", report_late)
             view = played.router.view
-            view.directory.doubt("t1", view.clock.now())
+            view.directory.exclude_until_probed("t1", view.clock.now())
         assert all(is_complete(reply, 8) for reply in replies)
         assert sum(sum(item.runs.values()) for item in played.layered) == 8
 
--- a/radishfield/forwarding/crashes_test.py
+++ b/radishfield/forwarding/crashes_test.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from radishfield.crashes import CrashReport, ToldEnd, request_digest
+from radishfield.crashes import CrashReport, TargetCrashEntry, request_digest
 from radishfield.forwarding._crash_gossip import CrashGossip
 from radishfield.forwarding._peer_messages import PeerCrashes
 from radishfield.forwarding._peers import Peer, PeerBook
@@ -143,7 +143,7 @@
 
 def report_three_crashes(router, digest):
     """Report to a host that three targets crashed under a request."""
-    ends = [ToldEnd(f"gone-{number}", 1, "host-9", 1.0) for number in range(3)]
+    ends = [TargetCrashEntry(f"gone-{number}", 1, "host-9", 1.0) for number in range(3)]
     router.view.crashes.learn([CrashReport(digest, ends)], "host-9")
 
 
@@ -258,11 +258,11 @@
     async def scenario(testbed):
         for number in range(4):
             for target in testbed.layered:
-                target.cut_after = 2
+                target.abort_after_events = 2
             host = testbed.fronts[number % HOSTS]
             await testbed.request("/stream/x", "POST", body=b"{}", address=host)
         for target in testbed.layered:
-            target.cut_after = 0
+            target.abort_after_events = 0
         for host in testbed.fronts:
             reply = await testbed.request("/stream/x", "POST", body=b"{}", address=host)
             assert (reply.status, reply.whole) == (200, True)
@@ -317,7 +317,10 @@
             async with world(tmp_path) as testbed:
                 testbed.store.put("config", "main", config())
                 routers = await testbed.start_zone(HOSTS)
-                ends = [ToldEnd(f"gone-{number}", 1, "host-9", 1.0) for number in "abc"]
+                ends = [
+                    TargetCrashEntry(f"gone-{number}", 1, "host-9", 1.0)
+                    for number in "abc"
+                ]
                 # Merged without a report to the other hosts.
                 routers[0].view.crashes.book.merge(
                     CrashReport(STREAM_DIGEST, ends),
@@ -350,7 +353,7 @@
     book.peer_by_id["far"] = Peer(("127.0.0.1", 9), "b", 99.0)
     sent = []
     gossip = CrashGossip("here", view, book, lambda data, peers: sent.append(peers))
-    report = CrashReport("d", [ToldEnd("t1", 1, "far", 0.0)])
+    report = CrashReport("d", [TargetCrashEntry("t1", 1, "far", 0.0)])
     gossip.hear(PeerCrashes("far", "b", [report]))
     (recipients,) = sent
     assert {peer.zone for peer in recipients} == {"a"}
--- a/radishfield/forwarding/crossings_test.py
+++ b/radishfield/forwarding/crossings_test.py
@@ -14,7 +14,7 @@
 
 from radishfield.forwarding._view import RouterView
 from radishfield.limits import RetryAllowance
-from radishfield.routing import Demand, Freshness, TargetLoad, ZoneSum
+from radishfield.routing import Demand, Freshness, TargetLoad, ZoneTotal
 from radishfield.routing.conftest import make_engine, make_target
 
 ZONES = "abcde"
@@ -97,7 +97,7 @@
         gone = {f"{zone}{SPANS[n % 4][0]}" for n, zone in enumerate(ZONES)}
         self.set_targets([item for item in self.records if item.id not in gone])
         for view in self.views:
-            view.free_room()
+            view.notify_capacity_freed()
 
     def announce(self):
         now = self.clock.now()
@@ -127,8 +127,8 @@
         self.schedule(now + ANNOUNCE_S, self.announce)
 
     def receive_totals(self, view, zone, made_at, shares, load_by_id):
-        view.links.sums.take(zone, ZoneSum(made_at, shares))
-        view.load.sums.take(zone, ZoneSum(made_at, load_by_id))
+        view.links.sums.take(zone, ZoneTotal(made_at, shares))
+        view.load.sums.take(zone, ZoneTotal(made_at, load_by_id))
         view.load.add_up(view.zone, self.clock.now())
         view.links.advance(self.clock.now(), view.zone)
 
--- a/radishfield/forwarding/router_test.py
+++ b/radishfield/forwarding/router_test.py
@@ -299,8 +299,8 @@
     async def scenario(played):
         await start_layered_router(played, [(0, 80), (0, 80)])
         for target in played.layered:
-            target.cut_after = 3
-        played.layered[1].cut_after = 0
+            target.abort_after_events = 3
+        played.layered[1].abort_after_events = 0
         for number in range(2):
             reply = await played.request(
                 "/stream/x", "POST", request_id=f"r{number}", body=b"{}"
@@ -408,7 +408,7 @@
     async def scenario(played):
         await start_layered_router(played, [(0, 80)] * 4, events=4)
         for target in played.layered:
-            target.cut_after = 1
+            target.abort_after_events = 1
         reply = await played.request("/stream/x", "POST", body=b"{}")
         seen = [target.id for target in played.layered if target.runs["r1"]]
         assert len(seen) == 2
@@ -579,7 +579,7 @@
         played.store.put("config", "main", config(services=services))
         for number in range(2):
             await played.add_layered(f"t{number + 1}", 0, 80, events=10, gap_s=0.05)
-        played.layered[0].cut_after = 4
+        played.layered[0].abort_after_events = 4
         await played.start_router()
         for number in range(4):
             reply = await played.request(
--- a/radishfield/forwarding/suspicion_test.py
+++ b/radishfield/forwarding/suspicion_test.py
@@ -113,7 +113,7 @@
     async def scenario(testbed):
         await start_pool(testbed, **NO_RETRIES)
         for target in testbed.layered:
-            target.cut_after = 20
+            target.abort_after_events = 20
 
         async def raise_budget():
             await trio.sleep(0.8)
@@ -135,7 +135,7 @@
 
         async def break_and_suspect():
             for target in testbed.layered:
-                target.cut_after = 1
+                target.abort_after_events = 1
                 view.directory.suspect(target.id, view.clock.now())
             await trio.sleep(0.2)
 
@@ -159,7 +159,7 @@
         testbed.store.put("config", "main", settings | changes)
         await testbed.add_layered("t1", 0, 80, events=EVENTS)
         await testbed.start_router()
-        testbed.layered[0].cut_after = 20
+        testbed.layered[0].abort_after_events = 20
         reply = await stream(testbed)
         assert reply.whole and event_ids(reply) == ALL_IDS
 
@@ -177,7 +177,7 @@
             for target in testbed.layered:
                 target.places = 1
                 target._path_by_request["other"] = []
-            used.cut_after = 1
+            used.abort_after_events = 1
             await trio.sleep(1.0)
             for target in testbed.layered:
                 target.places = 0
@@ -197,7 +197,7 @@
 
         async def avoid_first_stage():
             used = next(target for target in testbed.layered if target.runs["r1"])
-            watchdog._lose_part(used.address)
+            watchdog._avoid_stage(used.address)
 
         reply = await stream_during(testbed, avoid_first_stage)
         assert reply.whole
@@ -233,7 +233,9 @@
             testbed.store.put("config", "main", newer())
             view = testbed.router.view
             await testbed.until(lambda: view.table.config.version == 2)
-            next(item for item in testbed.layered if item.runs["r1"]).cut_after = 1
+            next(
+                item for item in testbed.layered if item.runs["r1"]
+            ).abort_after_events = 1
 
         reply = await stream_during(testbed, change_and_break)
         assert reply.whole and event_ids(reply) == ALL_IDS
@@ -279,7 +281,7 @@
             for target in testbed.layered:
                 target.places = 1
                 target._path_by_request["other"] = []
-            used.cut_after = 1
+            used.abort_after_events = 1
             await trio.sleep(2.6)
 
         await stream_during(testbed, fill)
@@ -312,7 +314,7 @@
         await testbed.add_plain("p1")
         await testbed.start_router()
         view = testbed.router.view
-        view.directory.doubt("p1", view.clock.now())
+        view.directory.exclude_until_probed("p1", view.clock.now())
         await testbed.until(
             lambda: not view.directory.suspected("p1", view.clock.now()), limit_s=4.0
         )
--- a/radishfield/limits/_retries.py
+++ b/radishfield/limits/_retries.py
@@ -56,7 +56,7 @@
     _first_attempt_times: deque[float] = msgspec.field(default_factory=deque)
     _retry_times: deque[float] = msgspec.field(default_factory=deque)
 
-    def first_try(self, now: float) -> None:
+    def record_first_attempt(self, now: float) -> None:
         """Count the first attempt of a request."""
         self._first_attempt_times.append(now)
         self._forget(now)
--- a/radishfield/platform/__init__.py
+++ b/radishfield/platform/__init__.py
@@ -5,12 +5,12 @@
     AnswerFacts,
     Headers,
     RequestFacts,
-    SendFacts,
+    TargetRequestFacts,
     caller_headers,
     order_headers,
-    own_answer_headers,
     read_answer,
     read_request,
+    router_answer_headers,
     target_headers,
 )
 from radishfield.platform._store import (
@@ -25,8 +25,8 @@
     REPORT_PATH,
     decode_report,
     decode_target,
-    place_order,
-    repath_order,
+    encode_place_order,
+    encode_repath_order,
 )
 
 CONFIG_KIND = "config"
@@ -49,17 +49,17 @@
     "Listing",
     "ObjectStore",
     "RequestFacts",
-    "SendFacts",
+    "TargetRequestFacts",
     "StoredValue",
     "caller_headers",
     "decode_config",
     "decode_report",
     "decode_target",
     "order_headers",
-    "own_answer_headers",
-    "place_order",
+    "router_answer_headers",
+    "encode_place_order",
     "read_answer",
     "read_request",
-    "repath_order",
+    "encode_repath_order",
     "target_headers",
 ]
--- a/radishfield/platform/_requests.py
+++ b/radishfield/platform/_requests.py
@@ -61,11 +61,11 @@
     deadline_s: float | None
     last_event_id: bytes
     prompt_tokens: int
-    most_answer_tokens: int
-    likely_answer_tokens: int
+    max_answer_tokens: int
+    expected_answer_tokens: int
 
 
-class SendFacts(msgspec.Struct, frozen=True):
+class TargetRequestFacts(msgspec.Struct, frozen=True):
     """Values that the router sends to a target in addition to the caller's headers."""
 
     target_id: str
@@ -116,13 +116,13 @@
         deadline_s=None if deadline_ms is None else deadline_ms / 1000,
         last_event_id=by_name.get(names.LAST_EVENT_ID, b""),
         prompt_tokens=_parse_count(counts[0]),
-        most_answer_tokens=_parse_count(counts[1]) if len(counts) > 1 else 0,
-        likely_answer_tokens=_parse_count(by_name.get(names.LENGTH_HINT, b"")),
+        max_answer_tokens=_parse_count(counts[1]) if len(counts) > 1 else 0,
+        expected_answer_tokens=_parse_count(by_name.get(names.LENGTH_HINT, b"")),
     )
 
 
 def target_headers(
-    caller: Iterable[tuple[bytes, bytes]], facts: SendFacts, body_bytes: int
+    caller: Iterable[tuple[bytes, bytes]], facts: TargetRequestFacts, body_bytes: int
 ) -> Headers:
     """Return the headers of a request to a target."""
     received = list(caller)
@@ -187,7 +187,7 @@
     ]
 
 
-def own_answer_headers(request_id: str, retry_after_s: float | None) -> Headers:
+def router_answer_headers(request_id: str, retry_after_s: float | None) -> Headers:
     """Return the headers of an answer that the router generates itself."""
     headers = [(b"content-type", b"application/json")]
     if request_id:
--- a/radishfield/platform/_targets.py
+++ b/radishfield/platform/_targets.py
@@ -118,13 +118,13 @@
     )
 
 
-def place_order(span: LayerSpan, fence: int, expected_orders: int) -> bytes:
+def encode_place_order(span: LayerSpan, fence: int, expected_orders: int) -> bytes:
     """Return the body of an order to hold exactly these layers."""
     order = _PlaceOrder("place", "queue", span.first, span.end, fence, expected_orders)
     return msgspec.json.encode(order)
 
 
-def repath_order(request_id: str, path: Path) -> bytes:
+def encode_repath_order(request_id: str, path: Path) -> bytes:
     """Return the body of an order to move a running request to another path."""
     return msgspec.json.encode(_RepathOrder("repath", request_id, format_path(path)))
 
--- a/radishfield/platform/adapter_test.py
+++ b/radishfield/platform/adapter_test.py
@@ -7,21 +7,21 @@
 
 from radishfield.core import ResultCode
 from radishfield.platform import (
-    SendFacts,
+    TargetRequestFacts,
     caller_headers,
     decode_config,
     decode_report,
     decode_target,
-    own_answer_headers,
-    place_order,
+    encode_place_order,
+    encode_repath_order,
     read_answer,
     read_request,
-    repath_order,
+    router_answer_headers,
     target_headers,
 )
 from radishfield.routing import (
     LayerSpan,
-    PathPart,
+    PathStage,
     RouteKind,
     TargetPhase,
     Workspace,
@@ -143,8 +143,8 @@
         ]
     )
     assert (facts.key, facts.deadline_s) == ("k1", 1.5)
-    assert (facts.prompt_tokens, facts.most_answer_tokens) == (1460, 80)
-    assert facts.likely_answer_tokens == 70
+    assert (facts.prompt_tokens, facts.max_answer_tokens) == (1460, 80)
+    assert facts.expected_answer_tokens == 70
 
 
 @given(st.lists(st.tuples(st.binary(max_size=12), st.binary(max_size=12)), max_size=8))
@@ -171,8 +171,8 @@
         (b"transfer-encoding", b"chunked"),
         (b"x-model", b"m"),
     ]
-    path = (PathPart("i-1", "10.0.0.1:80", LayerSpan(0, 80)),)
-    facts = SendFacts("i-1", 1.25, "w", path, b"12", priority=1)
+    path = (PathStage("i-1", "10.0.0.1:80", LayerSpan(0, 80)),)
+    facts = TargetRequestFacts("i-1", 1.25, "w", path, b"12", priority=1)
     sent = dict(target_headers(caller, facts, body_bytes=3))
     assert sent == {
         b"host": b"h",
@@ -204,14 +204,14 @@
 
 
 def test_router_answers_carry_request_id_and_retry_after():
-    headers = dict(own_answer_headers("r1", 0.25))
+    headers = dict(router_answer_headers("r1", 0.25))
     assert headers[b"x-request-id"] == b"r1"
     assert headers[b"retry-after"] == b"0.25"
-    assert b"retry-after" not in dict(own_answer_headers("r1", None))
+    assert b"retry-after" not in dict(router_answer_headers("r1", None))
 
 
 def test_orders_and_reports_use_the_targets_format():
-    order = msgspec.json.decode(place_order(LayerSpan(20, 31), 9, 2))
+    order = msgspec.json.decode(encode_place_order(LayerSpan(20, 31), 9, 2))
     assert order == {
         "operation": "place",
         "strategy": "queue",
@@ -221,10 +221,10 @@
         "expectRev": 2,
     }
     path = (
-        PathPart("i-1", "10.0.0.1:80", LayerSpan(0, 20)),
-        PathPart("i-2", "10.0.0.2:80", LayerSpan(20, 80)),
+        PathStage("i-1", "10.0.0.1:80", LayerSpan(0, 20)),
+        PathStage("i-2", "10.0.0.2:80", LayerSpan(20, 80)),
     )
-    repath = msgspec.json.decode(repath_order("r1", path))
+    repath = msgspec.json.decode(encode_repath_order("r1", path))
     assert repath["path"] == "10.0.0.1:80=0-20,10.0.0.2:80=20-80"
     report = decode_report(
         b'{"busy":true,"seq":2,"waiting":1,"running":12,"kvUsed":41000,"kvTotal":9e4,'
--- a/radishfield/routing/__init__.py
+++ b/radishfield/routing/__init__.py
@@ -7,10 +7,10 @@
 from radishfield.routing._admission_queue import AdmissionQueue, QueueEntry
 from radishfield.routing._choice import FailureRates, choose_target
 from radishfield.routing._crossing_gate import (
-    TELL_S,
+    ANNOUNCE_DELAY_S,
     CrossingGate,
     draw,
-    room_prompts,
+    free_prompt_capacity,
 )
 from radishfield.routing._directory import Removal, TargetDirectory
 from radishfield.routing._events import EventSplitter, event_ids
@@ -30,10 +30,10 @@
 )
 from radishfield.routing._links import LinkUsage, Pair, crossing_ms, pair_of
 from radishfield.routing._load import LoadTable, TargetLoad
-from radishfield.routing._paces import NORMAL_PACE, Paces
+from radishfield.routing._paces import MAX_NORMAL_SLOWDOWN, SlowdownTable
 from radishfield.routing._paths import (
-    BLIND_SPREAD,
-    UNSEEN_S,
+    REMOTE_STATE_AGE_S,
+    STARTUP_SPREAD,
     Demand,
     PathFinder,
     capacity_token_layers,
@@ -52,7 +52,7 @@
     Step,
     StreamSilence,
     Wait,
-    next_look_s,
+    next_check_s,
     next_step,
     targets_to_probe,
 )
@@ -67,7 +67,7 @@
     EngineSpec,
     LayerSpan,
     Path,
-    PathPart,
+    PathStage,
     RequestLimits,
     RouteKind,
     RouteRule,
@@ -80,19 +80,19 @@
     Workspace,
 )
 from radishfield.routing._watch_duty import WATCHERS_PER_ZONE, WatchDuty, ZoneHost
-from radishfield.routing._zone_sums import ZoneSum
+from radishfield.routing._zone_sums import ZoneTotal
 
 __all__ = [
-    "BLIND_SPREAD",
-    "NORMAL_PACE",
-    "Paces",
+    "STARTUP_SPREAD",
+    "MAX_NORMAL_SLOWDOWN",
+    "SlowdownTable",
     "path_ms",
-    "TELL_S",
-    "UNSEEN_S",
+    "ANNOUNCE_DELAY_S",
+    "REMOTE_STATE_AGE_S",
     "CrossingGate",
     "draw",
     "ends_waits",
-    "room_prompts",
+    "free_prompt_capacity",
     "END_MARGIN_S",
     "NOTICE_S",
     "Accelerator",
@@ -111,7 +111,7 @@
     "NoKeyNeeded",
     "Path",
     "PathFinder",
-    "PathPart",
+    "PathStage",
     "LinkUsage",
     "Pair",
     "Removal",
@@ -137,7 +137,7 @@
     "PeerConfirmation",
     "Workspace",
     "ZoneHost",
-    "ZoneSum",
+    "ZoneTotal",
     "block_layers",
     "capacity_token_layers",
     "choice_spread",
@@ -146,7 +146,7 @@
     "crossing_ms",
     "event_ids",
     "next_loads",
-    "next_look_s",
+    "next_check_s",
     "next_step",
     "pair_of",
     "plan_layout",
--- a/radishfield/routing/_admission_queue.py
+++ b/radishfield/routing/_admission_queue.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from radishfield.routing._types import LEAST_CALLER_PATIENCE_S
+from radishfield.routing._types import MIN_CALLER_TIMEOUT_S
 
 MAX_WAIT_SHARE = 0.6
 """Longest wait, as a share of the caller timeout: the first event of an admitted stream
@@ -78,7 +78,7 @@
     _running: Counter[str] = msgspec.field(default_factory=Counter)
     _freed_at: deque[float] = msgspec.field(default_factory=deque)
     _last_number: int = 0
-    usual_stream_s: float = INITIAL_STREAM_S
+    typical_stream_s: float = INITIAL_STREAM_S
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -88,7 +88,7 @@
         priority: int,
         workspace: str,
         now: float,
-        caller_patience_s: float = LEAST_CALLER_PATIENCE_S,
+        caller_patience_s: float = MIN_CALLER_TIMEOUT_S,
     ) -> QueueEntry:
         """Add a request to the queue."""
         self._last_number += 1
@@ -110,8 +110,8 @@
     ) -> None:
         """Count a freed slot, and learn how long its stream held it."""
         if duration_s is not None:
-            before_s = self.usual_stream_s * LENGTH_DECAY
-            self.usual_stream_s = before_s + duration_s * (1 - LENGTH_DECAY)
+            before_s = self.typical_stream_s * LENGTH_DECAY
+            self.typical_stream_s = before_s + duration_s * (1 - LENGTH_DECAY)
         self._running[workspace] -= 1
         if self._running[workspace] <= 0:
             del self._running[workspace]
@@ -130,7 +130,7 @@
         counted_s = max(MIN_COUNTED_S, now - self._freed_at[0])
         return (self._count_ahead(entry) + 1) * counted_s / len(self._freed_at)
 
-    def is_hopeless(self, entry: QueueEntry, now: float) -> bool:
+    def expects_timeout(self, entry: QueueEntry, now: float) -> bool:
         """Return whether a new request is expected not to get a slot in time."""
         return self.expected_wait_s(entry, now) > entry.max_wait_s * MAX_FORECAST_SHARE
 
@@ -151,6 +151,6 @@
         return (entry.priority, self._running[entry.workspace], entry.number)
 
     def _drop_old_freed(self, now: float) -> None:
-        window_s = min(MAX_WINDOW_S, max(MIN_WINDOW_S, self.usual_stream_s))
+        window_s = min(MAX_WINDOW_S, max(MIN_WINDOW_S, self.typical_stream_s))
         while self._freed_at and self._freed_at[0] < now - window_s:
             self._freed_at.popleft()
--- a/radishfield/routing/_crossing_gate.py
+++ b/radishfield/routing/_crossing_gate.py
@@ -14,7 +14,7 @@
 
 from radishfield.routing._links import FULL_SHARE, WINDOW_S, Pair
 
-TELL_S = 0.75
+ANNOUNCE_DELAY_S = 0.75
 """Time until most other hosts know of a prompt that was sent. It takes the next status,
 the zone total made from it, and the forwarding of that total."""
 
@@ -26,7 +26,7 @@
     is_open: bool
 
 
-def room_prompts(share: float, transfer_ms: float) -> float:
+def free_prompt_capacity(share: float, transfer_ms: float) -> float:
     """Return how many prompts a link takes at once until it is full."""
     if transfer_ms <= 0:
         return float("inf")
@@ -59,10 +59,13 @@
             return True
         current = self._draw_by_pair.get(pair)
         if current is None or now >= current.valid_until:
-            current = _Draw(now + TELL_S, draw(room, contenders, rng))
+            current = _Draw(now + ANNOUNCE_DELAY_S, draw(room, contenders, rng))
             self._draw_by_pair[pair] = current
         return current.is_open
 
     def used(self, pair: Pair, now: float) -> None:
-        """Record a prompt sent by this host, which closes its draw for ``TELL_S``."""
-        self._draw_by_pair[pair] = _Draw(now + TELL_S, False)
+        """Record a prompt sent by this host.
+
+        This closes its draw for ``ANNOUNCE_DELAY_S``.
+        """
+        self._draw_by_pair[pair] = _Draw(now + ANNOUNCE_DELAY_S, False)
--- a/radishfield/routing/_directory.py
+++ b/radishfield/routing/_directory.py
@@ -58,7 +58,7 @@
 class _Suspicion(msgspec.Struct):
     until: float
     length_s: float
-    until_asked: bool
+    until_answered: bool
     first_hand: bool
     inferred: bool = False
     probing: bool = False
@@ -95,7 +95,7 @@
     list_version: int = 0
     """Increases only when a target is added or removed or its record changes."""
 
-    def store_failed(self, now: float) -> None:
+    def record_store_failure(self, now: float) -> None:
         """Record that the store did not answer."""
         self._store_failed_at = now
 
@@ -145,7 +145,7 @@
         """Return a checksum that is equal on hosts with the same list."""
         return self._digest
 
-    def has_had(self, digest: int) -> bool:
+    def matches_recent_digest(self, digest: int) -> bool:
         """Return whether a digest is that of the current list or of a recent one.
 
         When targets are added by tens, each change reaches the hosts of a zone at a
@@ -201,7 +201,7 @@
         self,
         target_id: str,
         now: float,
-        until_asked: bool = False,
+        until_answered: bool = False,
     ) -> float:
         """Exclude a target after a failure seen by this host; return the seconds.
 
@@ -215,21 +215,21 @@
         before = self._suspicion_by_id.get(target_id)
         length_s = MIN_SUSPICION_S
         if before is not None and now < before.until and not before.probing:
-            before.until_asked |= until_asked
+            before.until_answered |= until_answered
             before.first_hand = True
             return before.until - now
         if before is not None and (
-            before.until_asked or now < before.until + before.length_s
+            before.until_answered or now < before.until + before.length_s
         ):
             length_s = min(MAX_SUSPICION_S, before.length_s * 2)
         self._suspicion_by_id[target_id] = _Suspicion(
-            now + length_s, length_s, until_asked, first_hand=True
+            now + length_s, length_s, until_answered, first_hand=True
         )
         self.version += 1
         self._exclude_unreachable_zone(target_id, now)
         return length_s
 
-    def doubt(self, target_id: str, now: float) -> None:
+    def exclude_until_probed(self, target_id: str, now: float) -> None:
         """Exclude a target until it has answered a probe, which is due at once.
 
         Used for another host's report: that host may have been suspended or be
@@ -238,7 +238,7 @@
         """
         if not self.suspected(target_id, now):
             self._suspicion_by_id[target_id] = _Suspicion(
-                now, MIN_SUSPICION_S / 2, until_asked=True, first_hand=False
+                now, MIN_SUSPICION_S / 2, until_answered=True, first_hand=False
             )
             self.version += 1
 
@@ -265,7 +265,7 @@
                 self._suspicion_by_id[other_id] = _Suspicion(
                     now + MIN_SUSPICION_S,
                     MIN_SUSPICION_S,
-                    until_asked=True,
+                    until_answered=True,
                     first_hand=False,
                     inferred=True,
                 )
@@ -288,10 +288,10 @@
         suspicion = self._suspicion_by_id.get(target_id)
         if suspicion is None:
             return
-        if suspicion.until_asked:
+        if suspicion.until_answered:
             self._answered_at_by_id[target_id] = now
         # The suspicion is kept for a while, so that the next one lasts longer.
-        suspicion.until_asked = False
+        suspicion.until_answered = False
         suspicion.until = min(suspicion.until, now)
         self.version += 1
         entry = self._entry_by_id.get(target_id)
@@ -309,13 +309,15 @@
         """Return whether a target is excluded now."""
         suspicion = self._suspicion_by_id.get(target_id)
         return suspicion is not None and (
-            suspicion.until_asked or now < suspicion.until
+            suspicion.until_answered or now < suspicion.until
         )
 
-    def found_lost(self, target_id: str) -> bool:
+    def found_unreachable(self, target_id: str) -> bool:
         """Return whether this host found a target unreachable, with no answer since."""
         suspicion = self._suspicion_by_id.get(target_id)
-        return suspicion is not None and suspicion.first_hand and suspicion.until_asked
+        return (
+            suspicion is not None and suspicion.first_hand and suspicion.until_answered
+        )
 
     def to_ask(self, now: float, extra_delay_s: float = 0.0) -> list[str]:
         """Return the targets that are excluded until they answer and due for a probe.
@@ -329,26 +331,26 @@
         return [
             target_id
             for target_id, suspicion in self._suspicion_by_id.items()
-            if suspicion.until_asked
+            if suspicion.until_answered
             and now
             >= suspicion.until + (0.0 if suspicion.answer_reported else extra_delay_s)
             and target_id in self._entry_by_id
         ]
 
-    def answered_elsewhere(self, target_id: str, now: float) -> None:
+    def record_answer_elsewhere(self, target_id: str, now: float) -> None:
         """Make a probe due at once after another host of the zone had an answer.
 
         The report alone does not end the suspicion, since this host's own connection
         to the target may be down.
         """
         suspicion = self._suspicion_by_id.get(target_id)
-        if suspicion is None or not suspicion.until_asked:
+        if suspicion is None or not suspicion.until_answered:
             return
         if now - suspicion.started_at >= MIN_SUSPICION_S:
             suspicion.until = min(suspicion.until, now)
             suspicion.answer_reported = True
 
-    def answered_lately(self, now: float) -> list[tuple[str, int]]:
+    def recently_answered(self, now: float) -> list[tuple[str, int]]:
         """Return the once excluded targets that answered recently, for other hosts."""
         self._answered_at_by_id = {
             target_id: at
@@ -373,13 +375,13 @@
             suspicion.probing = True
             suspicion.answer_reported = False
 
-    def lost_incarnations(self, now: float) -> list[tuple[str, int]]:
+    def unreachable_incarnations(self, now: float) -> list[tuple[str, int]]:
         """Return the targets this host found unreachable, to report to other hosts."""
         return [
             self._entry_by_id[target_id].record.incarnation
             for target_id, suspicion in self._suspicion_by_id.items()
             if suspicion.first_hand
-            and suspicion.until_asked
+            and suspicion.until_answered
             and not suspicion.probing
             and now < suspicion.until
             and target_id in self._entry_by_id
--- a/radishfield/routing/_events.py
+++ b/radishfield/routing/_events.py
@@ -28,7 +28,7 @@
         return events
 
     @property
-    def torn(self) -> bool:
+    def has_incomplete_event(self) -> bool:
         """Return whether bytes of an incomplete event are buffered."""
         return bool(self._buffer)
 
--- a/radishfield/routing/_freshness.py
+++ b/radishfield/routing/_freshness.py
@@ -39,14 +39,14 @@
         """Record the store's answer to a call that was sent at ``asked_at``."""
         self.answered_at = answered_at
         self.failing_since = None
-        self.confirm_by_peer(asked_at)
+        self.record_confirmation(asked_at)
 
     def failed(self, now: float) -> None:
         """Record a failed call to the store."""
         if self.failing_since is None:
             self.failing_since = now
 
-    def confirm_by_peer(self, asked_at: float) -> None:
+    def record_confirmation(self, asked_at: float) -> None:
         """Record that the configuration was confirmed as the newest at ``asked_at``."""
         if self.confirmed_at is None or asked_at > self.confirmed_at:
             self.confirmed_at = asked_at
--- a/radishfield/routing/_links.py
+++ b/radishfield/routing/_links.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from radishfield.routing._zone_sums import ZoneSums
+from radishfield.routing._zone_sums import ZoneTotals
 
 WINDOW_S = 2.0
 """Time over which crossings are averaged: about ten prompts of a typical host."""
@@ -51,7 +51,7 @@
 
     _crossings: deque[tuple[float, Pair, float]] = msgspec.field(default_factory=deque)
     _reported_by_host: dict[str, _Reported] = msgspec.field(default_factory=dict)
-    sums: ZoneSums = msgspec.field(default_factory=ZoneSums)
+    sums: ZoneTotals = msgspec.field(default_factory=ZoneTotals)
     _backlog_s_by_pair: dict[Pair, float] = msgspec.field(default_factory=dict)
     _advanced_at: float | None = None
 
@@ -107,7 +107,7 @@
         ]
         total = _sum_by_pair([self.own_shares(now), *share_maps])
         if own_zone in sums:
-            for pair, share in self.sums.own_at(sums[own_zone].at).items():
+            for pair, share in self.sums.own_report_at(sums[own_zone].at).items():
                 total[pair] = max(0.0, total.get(pair, 0.0) - share)
         return total
 
--- a/radishfield/routing/_load.py
+++ b/radishfield/routing/_load.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from radishfield.routing._zone_sums import ZoneSums
+from radishfield.routing._zone_sums import ZoneTotals
 
 REMOTE_LIFETIME_S = 3.0
 """A host that has reported nothing for this long is taken to hold nothing: it was
@@ -46,7 +46,7 @@
     own_by_id: dict[str, TargetLoad] = msgspec.field(default_factory=dict)
     _reported_by_host: dict[str, _Reported] = msgspec.field(default_factory=dict)
     _remote_by_id: dict[str, TargetLoad] = msgspec.field(default_factory=dict)
-    sums: ZoneSums = msgspec.field(default_factory=ZoneSums)
+    sums: ZoneTotals = msgspec.field(default_factory=ZoneTotals)
     _zone_total_by_id: dict[str, TargetLoad] | None = None
 
     def started(self, target_id: str, token_layers: float, first: bool) -> None:
@@ -107,7 +107,7 @@
             if report.zone not in sums
         ]
         total = _sum_by_target(by_zone + by_host)
-        for target_id, held in self.sums.own_at(sums[own_zone].at).items():
+        for target_id, held in self.sums.own_report_at(sums[own_zone].at).items():
             if target_id in total:
                 _add(total[target_id], held, -1)
         self._zone_total_by_id = total
--- a/radishfield/routing/_paces.py
+++ b/radishfield/routing/_paces.py
@@ -25,7 +25,7 @@
 RATIO_DECAY = 0.95
 """Weight of the past in the typical ratio: about the last twenty streams count."""
 
-NORMAL_PACE = 1.1
+MAX_NORMAL_SLOWDOWN = 1.1
 """Slowdown factor up to which a target counts as being like its kind."""
 
 LIFETIME_S = 5.0
@@ -41,7 +41,7 @@
     at: float
 
 
-class Paces(msgspec.Struct):
+class SlowdownTable(msgspec.Struct):
     """Slowdown factors of targets, queried by this host or reported by others."""
 
     _measurement_by_id: dict[str, _Measurement] = msgspec.field(default_factory=dict)
@@ -71,11 +71,11 @@
         before = self._measurement_by_id.get(target_id)
         if before is not None and before.at > now:
             return False
-        was_slow = before is not None and before.slowdown > NORMAL_PACE
-        if not was_slow and slowdown <= NORMAL_PACE:
+        was_slow = before is not None and before.slowdown > MAX_NORMAL_SLOWDOWN
+        if not was_slow and slowdown <= MAX_NORMAL_SLOWDOWN:
             return False
         self._measurement_by_id[target_id] = _Measurement(slowdown, now)
-        return was_slow != (slowdown > NORMAL_PACE)
+        return was_slow != (slowdown > MAX_NORMAL_SLOWDOWN)
 
     def expire(self, now: float) -> None:
         """Drop factors that were not confirmed for too long."""
@@ -90,7 +90,7 @@
         return {
             target_id: known.slowdown
             for target_id, known in self._measurement_by_id.items()
-            if known.slowdown > NORMAL_PACE
+            if known.slowdown > MAX_NORMAL_SLOWDOWN
         }
 
     def known(self, now: float) -> Iterable[tuple[str, float, float]]:
@@ -110,5 +110,5 @@
         return [
             target_id
             for target_id, known in self._measurement_by_id.items()
-            if known.slowdown > NORMAL_PACE and now - known.at >= QUERY_AGAIN_S
+            if known.slowdown > MAX_NORMAL_SLOWDOWN and now - known.at >= QUERY_AGAIN_S
         ]
--- a/radishfield/routing/_paths.py
+++ b/radishfield/routing/_paths.py
@@ -24,7 +24,7 @@
     EngineSpec,
     LayerSpan,
     Path,
-    PathPart,
+    PathStage,
     TargetRecord,
 )
 
@@ -44,7 +44,7 @@
 wherever there is one."""
 
 
-UNSEEN_S = 0.4
+REMOTE_STATE_AGE_S = 0.4
 """Mean age of what a host knows of the others' work: half of the time until a status or
 a zone total arrives, and its transfer."""
 
@@ -57,7 +57,7 @@
 typical path hold, so that the path can carry them even if all of them choose it."""
 
 
-BLIND_SPREAD = 1.5
+STARTUP_SPREAD = 1.5
 """Deviation of a target's cost while nothing is known of other hosts. When all hosts
 have just restarted, the callers of a second come back at once. With less deviation,
 each host fills the fastest accelerators, and half of the callers are refused by them
@@ -188,7 +188,7 @@
         self,
         records: Sequence[TargetRecord],
         demand: Demand,
-        first: PathPart | None = None,
+        first: PathStage | None = None,
         pace_by_id: Mapping[str, float] | None = None,
         holding_ids: Collection[str] = (),
         first_ids: Collection[str] | None = None,
@@ -222,7 +222,7 @@
         self,
         records: Sequence[TargetRecord],
         demand: Demand,
-        first: PathPart | None,
+        first: PathStage | None,
         pace_by_id: Mapping[str, float] | None,
         holding_ids: Collection[str],
     ) -> Path | None:
@@ -362,13 +362,13 @@
     """
     parts = list(candidate.parts)
     last_index_by_id = {part[0].id: index for index, part in enumerate(parts)}
-    merged: list[PathPart] = []
+    merged: list[PathStage] = []
     index = 0
     while index < len(parts):
         record, start, _ = parts[index]
         last = last_index_by_id[record.id]
         span = LayerSpan(start, parts[last][2])
-        merged.append(PathPart(record.id, record.address, span))
+        merged.append(PathStage(record.id, record.address, span))
         index = last + 1
     return tuple(merged)
 
--- a/radishfield/routing/_silence.py
+++ b/radishfield/routing/_silence.py
@@ -114,7 +114,7 @@
     }
 
 
-def next_look_s(
+def next_check_s(
     streams: Iterable[StreamSilence], shortest_s: float, longest_s: float
 ) -> float:
     """Return the time until the next check of the streams can find one too silent.
--- a/radishfield/routing/_types.py
+++ b/radishfield/routing/_types.py
@@ -7,7 +7,7 @@
 
 from radishfield.routing._links import Pair, pair_of
 
-LEAST_CALLER_PATIENCE_S = 2.0
+MIN_CALLER_TIMEOUT_S = 2.0
 """Minimum time for which callers of streams wait for an event, on any route.  This and
 the two factors below are requirements of the users."""
 TIMEOUT_PER_OBJECTIVE = 4.0
@@ -82,7 +82,7 @@
     def caller_patience_s(self) -> float:
         """Return how long callers of a stream wait for its next event."""
         return max(
-            LEAST_CALLER_PATIENCE_S,
+            MIN_CALLER_TIMEOUT_S,
             TIMEOUT_PER_OBJECTIVE * self.objective_s,
             TIMEOUT_PER_GAP * self.longest_gap_s,
         )
@@ -95,8 +95,8 @@
         the minimum caller timeout.
         """
         if has_events:
-            return self.longest_gap_s or LEAST_CALLER_PATIENCE_S / TIMEOUT_PER_GAP
-        return self.objective_s or LEAST_CALLER_PATIENCE_S / TIMEOUT_PER_OBJECTIVE
+            return self.longest_gap_s or MIN_CALLER_TIMEOUT_S / TIMEOUT_PER_GAP
+        return self.objective_s or MIN_CALLER_TIMEOUT_S / TIMEOUT_PER_OBJECTIVE
 
     @property
     def repeatable(self) -> bool:
@@ -262,7 +262,7 @@
     stalled: tuple[tuple[str, str], ...] = ()
 
 
-class PathPart(msgspec.Struct, frozen=True):
+class PathStage(msgspec.Struct, frozen=True):
     """One stage of a path: a target and the layers that it runs."""
 
     target_id: str
@@ -270,4 +270,4 @@
     span: LayerSpan
 
 
-Path = tuple[PathPart, ...]
+Path = tuple[PathStage, ...]
--- a/radishfield/routing/_watch_duty.py
+++ b/radishfield/routing/_watch_duty.py
@@ -87,7 +87,7 @@
     reading_since: float | None = None
 
     @property
-    def tells_others(self) -> bool:
+    def reports_to_zone(self) -> bool:
         """Return whether other hosts of the zone depend on this host's reports."""
         return self.on_duty and self.shared
 
@@ -108,7 +108,7 @@
         self.on_duty = not self.shared or own_id in watchers
         return self.on_duty != before
 
-    def heard_version(self, version: int, now: float) -> bool:
+    def record_peer_version(self, version: int, now: float) -> bool:
         """Record a version that another host has; return whether it is newer."""
         if version <= self.newest_version:
             return False
--- a/radishfield/routing/_zone_sums.py
+++ b/radishfield/routing/_zone_sums.py
@@ -16,28 +16,28 @@
 """A total older than this is not used: five times its typical age in a large zone."""
 
 
-class ZoneSum(msgspec.Struct, frozen=True):
+class ZoneTotal(msgspec.Struct, frozen=True):
     """Totals of a zone's hosts by key, computed at ``at`` on this host's clock."""
 
     at: float
     by_key: Mapping
 
 
-class ZoneSums(msgspec.Struct):
+class ZoneTotals(msgspec.Struct):
     """The latest total of each zone, and this host's own recent reports."""
 
-    _total_by_zone: dict[str, ZoneSum] = msgspec.field(default_factory=dict)
-    _own_reports: deque[ZoneSum] = msgspec.field(
+    _total_by_zone: dict[str, ZoneTotal] = msgspec.field(default_factory=dict)
+    _own_reports: deque[ZoneTotal] = msgspec.field(
         default_factory=lambda: deque(maxlen=8)
     )
 
-    def take(self, zone: str, item: ZoneSum) -> None:
+    def take(self, zone: str, item: ZoneTotal) -> None:
         """Store a zone's total, unless a later one is known."""
         known = self._total_by_zone.get(zone)
         if known is None or item.at > known.at:
             self._total_by_zone[zone] = item
 
-    def fresh(self, now: float) -> dict[str, ZoneSum]:
+    def fresh(self, now: float) -> dict[str, ZoneTotal]:
         """Return the totals by zone that are recent enough to be used."""
         return {
             zone: item
@@ -47,9 +47,9 @@
 
     def told_own(self, now: float, by_key: Mapping) -> None:
         """Record what this host reports about itself now."""
-        self._own_reports.append(ZoneSum(now, by_key))
+        self._own_reports.append(ZoneTotal(now, by_key))
 
-    def own_at(self, at: float) -> Mapping:
+    def own_report_at(self, at: float) -> Mapping:
         """Return this host's latest report about itself up to a time."""
         reported = [item for item in self._own_reports if item.at <= at]
         return reported[-1].by_key if reported else {}
--- a/radishfield/routing/admission_queue_test.py
+++ b/radishfield/routing/admission_queue_test.py
@@ -4,9 +4,9 @@
 
 from radishfield.routing import AdmissionQueue
 from radishfield.routing._admission_queue import HEAD_SIZE, MAX_WAIT_SHARE
-from radishfield.routing._types import LEAST_CALLER_PATIENCE_S
+from radishfield.routing._types import MIN_CALLER_TIMEOUT_S
 
-MAX_WAIT_S = MAX_WAIT_SHARE * LEAST_CALLER_PATIENCE_S
+MAX_WAIT_S = MAX_WAIT_SHARE * MIN_CALLER_TIMEOUT_S
 
 
 def test_urgent_work_goes_first_then_workspaces_that_hold_the_least():
@@ -39,7 +39,7 @@
             _, workspace, priority = arrivals.pop(0)
             sent[workspace] = sent.get(workspace, 0) + 1
             entry = queue.join(priority, workspace, now)
-            if len(busy) >= slots and queue.is_hopeless(entry, now):
+            if len(busy) >= slots and queue.expects_timeout(entry, now):
                 queue.leave(entry)
                 rejected += 1
             else:
--- a/radishfield/routing/conftest.py
+++ b/radishfield/routing/conftest.py
@@ -10,7 +10,7 @@
     TargetRecord,
 )
 
-CARDS = {
+ACCELERATOR_BY_NAME = {
     "a100": Accelerator("a100", 72000.0, 2.4, 3.2),
     "l40s": Accelerator("l40s", 43200.0, 5.6, 2.7),
     "l4": Accelerator("l4", 21600.0, 16.0, 8.2),
@@ -35,7 +35,7 @@
         "concurrent_loads": 5,
         "step_bytes": 91800.0,
         "zone_mbps": 18000.0,
-        "accelerator_by_name": CARDS,
+        "accelerator_by_name": ACCELERATOR_BY_NAME,
         "delay_ms_by_pair": {("a", "b"): 0.5, ("a", "c"): 0.5, ("b", "c"): 0.5},
     }
     return EngineSpec(**(values | changes))
--- a/radishfield/routing/directory_test.py
+++ b/radishfield/routing/directory_test.py
@@ -46,7 +46,7 @@
     targets have registered again, although all of them are alive.
     """
     directory = directory_of(make_target("t1"), make_target("t2"))
-    directory.store_failed(now=100.0)
+    directory.record_store_failure(now=100.0)
     removals = directory.replace_all({}, now=101.0)
     assert all(removal.held for removal in removals)
     assert usable_ids(directory, 101.0) == ["t1", "t2"]
@@ -96,11 +96,11 @@
     them; so it is probed first and excluded until it answers.
     """
     directory = directory_of(make_target("t1"), make_target("t2"))
-    directory.suspect("t1", now=0.0, until_asked=True)
+    directory.suspect("t1", now=0.0, until_answered=True)
     assert usable_ids(directory, 60.0) == ["t2"]
     assert directory.to_ask(0.5) == []
     assert directory.to_ask(1.1) == ["t1"]
-    directory.suspect("t1", now=1.1, until_asked=True)
+    directory.suspect("t1", now=1.1, until_answered=True)
     assert directory.to_ask(1.5) == []
     assert directory.to_ask(3.2) == ["t1"]
     directory.answered("t1", now=3.3)
@@ -109,9 +109,9 @@
 
 def test_only_failures_seen_by_this_host_are_reported_to_others():
     directory = directory_of(make_target("t1"), make_target("t2"))
-    directory.suspect("t1", now=0.0, until_asked=True)
-    directory.doubt("t2", now=0.0)
-    assert directory.lost_incarnations(0.5) == [("t1", 0)]
+    directory.suspect("t1", now=0.0, until_answered=True)
+    directory.exclude_until_probed("t2", now=0.0)
+    assert directory.unreachable_incarnations(0.5) == [("t1", 0)]
 
 
 def test_a_target_reported_unreachable_by_another_host_is_probed_at_once():
@@ -121,7 +121,7 @@
     a failure seen by this host, all of its streams would be refused for a second.
     """
     directory = directory_of(make_target("t1"), make_target("t2"))
-    directory.doubt("t1", now=10.0)
+    directory.exclude_until_probed("t1", now=10.0)
     assert directory.to_ask(10.0) == ["t1"]
     directory.answered("t1", now=10.01)
     assert usable_ids(directory, 10.02) == ["t1", "t2"]
@@ -135,26 +135,26 @@
     """
     directory = directory_of(*[make_target(f"t{n}", "a") for n in range(6)])
     for number in range(3):
-        directory.doubt(f"t{number}", now=1.0)
+        directory.exclude_until_probed(f"t{number}", now=1.0)
         directory.asked(f"t{number}", now=1.0)
     assert len(usable_ids(directory, 1.1)) == 3
-    assert directory.lost_incarnations(1.1) == []
+    assert directory.unreachable_incarnations(1.1) == []
     assert directory.to_ask(1.2) == []
 
 
 def test_failed_probes_exclude_a_target_for_longer_each_time():
     directory = directory_of(make_target("t1"))
-    directory.suspect("t1", now=0.0, until_asked=True)
+    directory.suspect("t1", now=0.0, until_answered=True)
     directory.asked("t1", now=1.0)
-    assert directory.suspect("t1", now=1.01, until_asked=True) == 2.0
+    assert directory.suspect("t1", now=1.01, until_answered=True) == 2.0
     directory.asked("t1", now=3.1)
-    assert directory.suspect("t1", now=3.5, until_asked=True) == 4.0
-    assert directory.lost_incarnations(3.6) == [("t1", 0)]
+    assert directory.suspect("t1", now=3.5, until_answered=True) == 4.0
+    assert directory.unreachable_incarnations(3.6) == [("t1", 0)]
 
 
 def test_an_unreachable_target_that_returns_empty_is_no_longer_suspected():
     directory = directory_of(make_target("t1", span=(0, 8)))
-    directory.suspect("t1", now=0.0, until_asked=True)
+    directory.suspect("t1", now=0.0, until_answered=True)
     directory.update(make_target("t1"))
     assert usable_ids(directory, 0.1) == ["t1"]
 
@@ -195,35 +195,35 @@
     probing, waiting = TargetDirectory(), TargetDirectory()
     for directory in (probing, waiting):
         directory.update(target("t1"))
-        directory.suspect("t1", 10.0, until_asked=True)
+        directory.suspect("t1", 10.0, until_answered=True)
     assert probing.to_ask(11.0) == ["t1"]
     assert waiting.to_ask(11.0, 3.0) == []
     assert waiting.to_ask(14.0, 3.0) == ["t1"]
     probing.asked("t1", 12.0)
     probing.answered("t1", 12.0)
-    assert probing.answered_lately(12.1) == [("t1", 0)]
-    waiting.answered_elsewhere("t1", 12.2)
+    assert probing.recently_answered(12.1) == [("t1", 0)]
+    waiting.record_answer_elsewhere("t1", 12.2)
     assert waiting.to_ask(12.2, 3.0) == ["t1"]
     assert waiting.suspected("t1", 12.2)
     waiting.asked("t1", 12.2)
     waiting.answered("t1", 12.3)
     assert not waiting.suspected("t1", 12.3)
-    assert probing.answered_lately(14.5) == []
+    assert probing.recently_answered(14.5) == []
 
 
 def test_answer_reported_by_another_host_causes_one_probe(target):
     """A host that cannot reach a target must not probe it on each report of others."""
     directory = TargetDirectory()
     directory.update(target("t1"))
-    directory.suspect("t1", 10.0, until_asked=True)
+    directory.suspect("t1", 10.0, until_answered=True)
     probes = 0
     for step in range(20):
         now = 10.5 + 0.05 * step
-        directory.answered_elsewhere("t1", now)
+        directory.record_answer_elsewhere("t1", now)
         if directory.to_ask(now, 3.0):
             probes += 1
             directory.asked("t1", now)
-            directory.suspect("t1", now, until_asked=True)
+            directory.suspect("t1", now, until_answered=True)
     assert probes <= 2
 
 
@@ -238,13 +238,13 @@
         reported_digest = watcher.digest()
         watcher.update(target(f"t{number}"))
         host.update(target(f"t{number}"))
-        assert host.has_had(reported_digest)
+        assert host.matches_recent_digest(reported_digest)
         if number != 20:
             incomplete.update(target(f"t{number}"))
     assert host.digest() == watcher.digest()
-    assert not incomplete.has_had(watcher.digest())
+    assert not incomplete.matches_recent_digest(watcher.digest())
     watcher.remove("t3", 100.0)
-    assert not host.has_had(watcher.digest())
+    assert not host.matches_recent_digest(watcher.digest())
     host.remove("t3", 100.1)
     assert host.digest() == watcher.digest()
 
--- a/radishfield/routing/layout_test.py
+++ b/radishfield/routing/layout_test.py
@@ -7,7 +7,7 @@
 from msgspec.structs import replace
 
 from radishfield.routing import block_layers, next_loads, plan_layout, plan_move
-from radishfield.routing.conftest import CARDS, make_engine, make_target
+from radishfield.routing.conftest import ACCELERATOR_BY_NAME, make_engine, make_target
 
 ENGINE = make_engine()
 
@@ -81,7 +81,7 @@
 @settings(max_examples=60, deadline=None)
 @given(
     st.lists(
-        st.tuples(st.sampled_from("abc"), st.sampled_from(sorted(CARDS))),
+        st.tuples(st.sampled_from("abc"), st.sampled_from(sorted(ACCELERATOR_BY_NAME))),
         min_size=1,
         max_size=40,
     )
@@ -94,7 +94,7 @@
     plan = plan_layout(ENGINE, records)
     assert len({item.target.id for item in plan}) == len(plan)
     for item in plan:
-        accelerator = CARDS[item.target.accelerator]
+        accelerator = ACCELERATOR_BY_NAME[item.target.accelerator]
         assert len(item.span) * ENGINE.layer_mb < accelerator.memory_mb
         assert 0 <= item.span.first < item.span.end <= ENGINE.layers
 
@@ -202,7 +202,8 @@
     records = [
         (
             replace(record, span=None)
-            if record.id in {f"{zone}-{kind}-0" for zone in "abc" for kind in CARDS}
+            if record.id
+            in {f"{zone}-{kind}-0" for zone in "abc" for kind in ACCELERATOR_BY_NAME}
             else record
         )
         for record in placed_fleet()
--- a/radishfield/routing/links_test.py
+++ b/radishfield/routing/links_test.py
@@ -10,8 +10,8 @@
     LinkUsage,
     LoadTable,
     PathFinder,
-    ZoneSum,
-    room_prompts,
+    ZoneTotal,
+    free_prompt_capacity,
 )
 from radishfield.routing.conftest import make_engine, make_target
 
@@ -26,7 +26,7 @@
     for number in range(5):
         links.report_remote(f"b{number}", {PAIR: 0.02}, "b")
     assert links.shares(10.0, "a")[PAIR] == pytest.approx(0.1)
-    links.sums.take("b", ZoneSum(9.8, {PAIR: 0.8}))
+    links.sums.take("b", ZoneTotal(9.8, {PAIR: 0.8}))
     assert links.shares(10.0, "a")[PAIR] == pytest.approx(0.8)
     assert links.full(links.shares(10.0, "a")) == {PAIR}
 
@@ -35,7 +35,7 @@
     links = LinkUsage()
     links.crossed(PAIR, PROMPT_MS, 9.0)
     links.told_own(9.1)
-    links.sums.take("a", ZoneSum(9.2, {PAIR: 0.5}))
+    links.sums.take("a", ZoneTotal(9.2, {PAIR: 0.5}))
     links.crossed(PAIR, PROMPT_MS, 9.5)
     # The zone total contains the first prompt, not the second one.
     assert links.shares(9.6, "a")[PAIR] == pytest.approx(0.7)
@@ -44,7 +44,7 @@
 def test_old_zone_total_is_replaced_by_reports_of_single_hosts():
     links = LinkUsage()
     links.report_remote("b1", {PAIR: 0.1}, "b")
-    links.sums.take("b", ZoneSum(8.0, {PAIR: 0.8}))
+    links.sums.take("b", ZoneTotal(8.0, {PAIR: 0.8}))
     assert links.shares(10.0, "a")[PAIR] == pytest.approx(0.1)
 
 
@@ -82,7 +82,7 @@
 
 def sent_at_once(hosts, contenders, rounds=200):
     """Return the mean number of prompts sent by hosts that choose one link at once."""
-    room = room_prompts(0.0, PROMPT_MS)
+    room = free_prompt_capacity(0.0, PROMPT_MS)
     total = 0
     for seed in range(rounds):
         rng = random.Random(seed)
--- a/radishfield/routing/load_test.py
+++ b/radishfield/routing/load_test.py
@@ -9,7 +9,7 @@
     LoadTable,
     PathFinder,
     TargetLoad,
-    ZoneSum,
+    ZoneTotal,
     capacity_token_layers,
     plan_layout,
 )
@@ -34,7 +34,7 @@
     table = LoadTable()
     table.started("t", 100.0, first=True)
     table.told_own(1.0)
-    table.sums.take("a", ZoneSum(1.2, {"t": TargetLoad(5, 500.0, 3)}))
+    table.sums.take("a", ZoneTotal(1.2, {"t": TargetLoad(5, 500.0, 3)}))
     table.started("t", 100.0, first=False)
     table.add_up("a", 1.3)
     assert table.held("t") == TargetLoad(6, 600.0, 3)
@@ -46,7 +46,7 @@
 def test_old_zone_total_is_replaced_by_reports_of_single_hosts():
     table = LoadTable()
     table.report_remote("h", {"t": TargetLoad(1, 10.0, 0)}, 5.0, "a")
-    table.sums.take("a", ZoneSum(5.0, {"t": TargetLoad(7, 70.0, 0)}))
+    table.sums.take("a", ZoneTotal(5.0, {"t": TargetLoad(7, 70.0, 0)}))
     table.add_up("a", 5.1)
     assert table.held("t").requests == 7
     table.add_up("a", 6.6)
@@ -58,15 +58,15 @@
     table = LoadTable()
     table.report_remote("b1", {"t": TargetLoad(2, 20.0, 1)}, 5.0, "b")
     table.report_remote("a2", {"t": TargetLoad(3, 30.0, 1)}, 5.0, "a")
-    table.sums.take("a", ZoneSum(5.0, {"t": TargetLoad(7, 70.0, 3)}))
+    table.sums.take("a", ZoneTotal(5.0, {"t": TargetLoad(7, 70.0, 3)}))
     table.add_up("a", 5.1)
     assert table.held("t") == TargetLoad(9, 90.0, 4)
 
 
 def test_earlier_zone_total_does_not_replace_a_later_one():
     table = LoadTable()
-    table.sums.take("a", ZoneSum(5.0, {"t": TargetLoad(7, 70.0, 0)}))
-    table.sums.take("a", ZoneSum(4.8, {"t": TargetLoad(2, 20.0, 0)}))
+    table.sums.take("a", ZoneTotal(5.0, {"t": TargetLoad(7, 70.0, 0)}))
+    table.sums.take("a", ZoneTotal(4.8, {"t": TargetLoad(2, 20.0, 0)}))
     table.add_up("a", 5.1)
     assert table.held("t").requests == 7
 
@@ -123,7 +123,7 @@
                     tables[other].report_remote(f"h{number}", reported, now, "a")
         for table in tables:
             if sums:
-                table.sums.take("a", ZoneSum(now, copied(zone_total)))
+                table.sums.take("a", ZoneTotal(now, copied(zone_total)))
             table.add_up("a", now)
         for table in tables:
             if rng.random() < 3 * ROUND_S / STREAM_S:
--- a/radishfield/routing/paces_test.py
+++ b/radishfield/routing/paces_test.py
@@ -7,12 +7,12 @@
 from radishfield.routing import (
     Demand,
     LoadTable,
-    Paces,
     PathFinder,
+    SlowdownTable,
     path_ms,
     plan_layout,
 )
-from radishfield.routing._types import LayerSpan, PathPart
+from radishfield.routing._types import LayerSpan, PathStage
 from radishfield.routing.conftest import make_engine, make_target
 
 DEMAND = Demand(774, 203)
@@ -59,7 +59,7 @@
     engine, records = fleet()
     by_id = {record.id: record for record in records}
     rng = random.Random(3)
-    hosts = [Paces() for _ in range(HOSTS)]
+    hosts = [SlowdownTable() for _ in range(HOSTS)]
     load = LoadTable()
 
     def streams():
@@ -98,7 +98,7 @@
 
 def test_slow_target_loses_streams_in_proportion_and_gets_them_back():
     engine, records = fleet()
-    paces = Paces()
+    paces = SlowdownTable()
     count_normal = count_paths_through(engine, records, "a0", paces.by_id())
     paces.note("a0", 1.3, 100.0)
     count_slightly_slow = count_paths_through(engine, records, "a0", paces.by_id())
@@ -111,7 +111,7 @@
 
 
 def test_recovered_target_is_reported_and_then_dropped():
-    paces = Paces()
+    paces = SlowdownTable()
     assert paces.note("t", 3.0, 100.0)
     assert not paces.note("t", 2.5, 101.0)
     assert paces.to_ask(102.0) == []
@@ -124,7 +124,7 @@
 
 
 def test_older_report_does_not_replace_a_newer_one():
-    paces = Paces()
+    paces = SlowdownTable()
     paces.note("t", 3.0, 100.0)
     paces.note("t", 1.0, 99.0)
     assert paces.by_id() == {"t": 3.0}
@@ -134,6 +134,6 @@
 def test_expected_time_of_a_path_grows_with_its_layers(layers):
     engine = make_engine()
     record = make_target("t", span=layers)
-    path = (PathPart("t", record.address, LayerSpan(*layers)),)
+    path = (PathStage("t", record.address, LayerSpan(*layers)),)
     expected_ms = path_ms(engine, {"t": record}, LoadTable(), path)
     assert expected_ms == pytest.approx(engine.step_ms * 5.6 * layers[1] / 80)
--- a/radishfield/routing/paths_test.py
+++ b/radishfield/routing/paths_test.py
@@ -7,7 +7,7 @@
 from msgspec.structs import replace
 
 from radishfield.routing import (
-    BLIND_SPREAD,
+    STARTUP_SPREAD,
     Demand,
     LinkUsage,
     LoadTable,
@@ -334,7 +334,7 @@
     of the fleet's memory is idle.
     """
     records = large_fleet(engine)
-    assert refused(engine, records, BLIND_SPREAD, streams=500) <= 10
+    assert refused(engine, records, STARTUP_SPREAD, streams=500) <= 10
 
 
 def test_few_hosts_keep_to_the_cheapest_path(engine):
--- a/radishfield/routing/sizes_test.py
+++ b/radishfield/routing/sizes_test.py
@@ -24,7 +24,7 @@
     plan_move,
     targets_to_probe,
 )
-from radishfield.routing.conftest import CARDS, make_engine, make_target
+from radishfield.routing.conftest import ACCELERATOR_BY_NAME, make_engine, make_target
 
 
 @dataclass(slots=True, frozen=True)
@@ -34,7 +34,9 @@
     name: str
     zones: int
     count_by_kind: dict[str, int]
-    accelerator_by_kind: dict[str, Accelerator] = field(default_factory=lambda: CARDS)
+    accelerator_by_kind: dict[str, Accelerator] = field(
+        default_factory=lambda: ACCELERATOR_BY_NAME
+    )
     engine: dict = field(default_factory=dict)
     demand: Demand = Demand(774, 203)
     min_admitted: int = 20
--- a/radishfield/routing/small_test.py
+++ b/radishfield/routing/small_test.py
@@ -18,7 +18,7 @@
     Wait,
     choose_target,
     event_ids,
-    next_look_s,
+    next_check_s,
     next_step,
     takes_work,
     targets_to_probe,
@@ -48,7 +48,7 @@
         now, index = tick * 0.01, tick % 9
         if tick % 100 == 0:
             reported = [budget.use(now) for budget in budgets]
-        budgets[index].first_try(now)
+        budgets[index].record_first_attempt(now)
         others = [] if silent else reported[:index] + reported[index + 1 :]
         while budgets[index].take(now, 9, others):
             retries.append(now)
@@ -81,7 +81,7 @@
 
 def test_a_service_with_little_traffic_may_still_retry():
     budget = RetryBudget(RetryAllowance(0.2, 10.0, 200.0))
-    budget.first_try(0.0)
+    budget.record_first_attempt(0.0)
     assert budget.take(0.1, hosts=9)
 
 
@@ -242,9 +242,9 @@
 def test_an_incomplete_event_is_held_back():
     splitter = EventSplitter()
     assert splitter.feed(event(1) + b"id: 2\nda") == event(1)
-    assert splitter.torn
+    assert splitter.has_incomplete_event
     assert splitter.feed(b"ta: x\n\n") == event(2)
-    assert not splitter.torn
+    assert not splitter.has_incomplete_event
 
 
 @given(st.lists(st.integers(0, 99), max_size=8), st.randoms(use_true_random=False))
@@ -264,10 +264,10 @@
     # An earlier check finds nothing; a later one misses a pause that is still on time.
     active = silent_stream("a", silent_s=0.01)
     due_s = active.probe_after_s - active.silent_s
-    assert next_look_s([active], 0.03, 0.1) == pytest.approx(due_s)
+    assert next_check_s([active], 0.03, 0.1) == pytest.approx(due_s)
     overdue = silent_stream("b", silent_s=1.0)
-    assert next_look_s([active, overdue], 0.03, 0.1) == 0.03
+    assert next_check_s([active, overdue], 0.03, 0.1) == 0.03
 
 
 def test_host_without_streams_checks_at_the_longest_interval():
-    assert next_look_s([], 0.03, 0.1) == 0.1
+    assert next_check_s([], 0.03, 0.1) == 0.1
--- a/radishfield/routing/watch_duty_test.py
+++ b/radishfield/routing/watch_duty_test.py
@@ -76,8 +76,8 @@
     """A watcher's datagram with the configuration may be lost or exceed its limit."""
     duty = WatchDuty()
     duty.assign("d", hosts("a", "b", "c"))
-    assert duty.heard_version(8, 100.0)
-    assert not duty.heard_version(8, 100.2)
+    assert duty.record_peer_version(8, 100.0)
+    assert not duty.record_peer_version(8, 100.2)
     assert duty.config_due_in_s(0.1, 5.0, 7, 100.1) > 0
     assert duty.config_due_in_s(0.1, 5.0, 7, 100.31) <= 0
     assert duty.config_due_in_s(0.1, 5.0, 8, 100.31) > 0
--- a/radishfield/scripts/_wiring.py
+++ b/radishfield/scripts/_wiring.py
@@ -56,7 +56,7 @@
     Dispatcher,
     FleetView,
     TargetCrashes,
-    look_at_address,
+    check_target_listening,
 )
 from radishfield.settings import EntrySettings, MetricsExport
 from radishfield.telemetry import (
@@ -159,7 +159,7 @@
             peers,
             facts,
             clock,
-            on_hosts=kernel.find("directory", TargetDirectory).see_hosts,
+            on_hosts=kernel.find("directory", TargetDirectory).observe_hosts,
         )
         kernel.register("watcher", watcher)
 
@@ -229,7 +229,7 @@
         for profile in self._settings.profiles:
             value = msgspec.json.encode(profile)
             facts.learn(StoredObject("profile", profile.name, SETTINGS_VERSION, value))
-        facts.is_known = not self._settings.platform.address
+        facts.is_filled = not self._settings.platform.address
         return facts
 
     def _make_telemetry(self) -> Telemetry:
@@ -256,7 +256,7 @@
             kernel.find("claims", Claims),
             claim_s=self._settings.claims.keep_s,
             observer=TelemetryObserver(telemetry, records, clock),
-            crashes=TargetCrashes(guard, look_at_address),
+            crashes=TargetCrashes(guard, check_target_listening),
         )
         kernel.register("dispatcher", dispatcher)
         self._add_views()
--- a/radishfield/serving/__init__.py
+++ b/radishfield/serving/__init__.py
@@ -12,7 +12,7 @@
 )
 from radishfield.serving._target_crashes import (
     TargetCrashes,
-    look_at_address,
+    check_target_listening,
 )
 
 __all__ = [
@@ -21,5 +21,5 @@
     "FleetView",
     "TargetCrashes",
     "links_between",
-    "look_at_address",
+    "check_target_listening",
 ]
--- a/radishfield/serving/_attempt.py
+++ b/radishfield/serving/_attempt.py
@@ -18,7 +18,7 @@
     TokenStream,
 )
 from radishfield.core import ResultCode as Code
-from radishfield.crashes import OUTLIVED_S, CrashGuard
+from radishfield.crashes import CRASH_WINDOW_S, CrashGuard
 from radishfield.decisions import Dispatch, Failure, FailureKind, Scheduler
 from radishfield.pipeline import PipelineState
 from radishfield.serving._observer import Observer
@@ -208,6 +208,6 @@
         """Record whether the target keeps running after it started the request."""
         if self._first_token_at is None:
             self._first_token_at = now
-        if not self._outlived_start and now - self._first_token_at >= OUTLIVED_S:
+        if not self._outlived_start and now - self._first_token_at >= CRASH_WINDOW_S:
             self._outlived_start = True
-            self._crashes.outlived(digest_of(self._request), self._request.id)
+            self._crashes.record_survival(digest_of(self._request), self._request.id)
--- a/radishfield/serving/_crash_sharing.py
+++ b/radishfield/serving/_crash_sharing.py
@@ -71,7 +71,7 @@
             await trio.sleep(RESEND_INTERVAL_S * self._rng.uniform(0.5, 1.5))
             members = self._peers.members()
             chosen = choose_fan_out(members, self._settings, self._rng)
-            await self._send(self._guard.book.lasting(), chosen)
+            await self._send(self._guard.book.repeated_digests(), chosen)
 
     async def _send(self, digests: Sequence[str], members: Sequence[str]) -> None:
         for digest in digests:
--- a/radishfield/serving/_fleet_view.py
+++ b/radishfield/serving/_fleet_view.py
@@ -54,7 +54,7 @@
             targets,
             self._zone,
             links_between(zones, self._links),
-            entry_hosts=self._directory.entry_hosts_in_zone(),
+            entry_hosts=self._directory.entry_host_count_in_zone(),
         )
 
 
--- a/radishfield/serving/_run.py
+++ b/radishfield/serving/_run.py
@@ -162,7 +162,7 @@
             ):
                 failure = await attempt(dispatch)
         if failure is None:
-            self._crashes.guard.outlived(self._digest, self.request.id)
+            self._crashes.guard.record_survival(self._digest, self.request.id)
         if failure is not None and not failure.started:
             self.started = started_before
         return failure
--- a/radishfield/serving/_target_crashes.py
+++ b/radishfield/serving/_target_crashes.py
@@ -3,7 +3,7 @@
 from collections.abc import Awaitable, Callable, Iterable
 
 from radishfield.core import Fault, ResultCode, Target, TargetState
-from radishfield.crashes import CrashGuard, listens, request_digest
+from radishfield.crashes import CrashGuard, is_listening, request_digest
 from radishfield.serving._observer import AnyRequest
 
 ListenCheck = Callable[[Target], Awaitable[bool | None]]
@@ -20,10 +20,10 @@
 """Failures of a started attempt that a crash of its target may have caused."""
 
 
-async def look_at_address(target: Target) -> bool | None:
+async def check_target_listening(target: Target) -> bool | None:
     """Return whether anything listens at a target's address."""
     host, _, port = target.address.rpartition(":")
-    return await listens(host, int(port))
+    return await is_listening(host, int(port))
 
 
 async def skip_listen_check(target: Target) -> bool | None:
--- a/radishfield/serving/crashes_test.py
+++ b/radishfield/serving/crashes_test.py
@@ -19,7 +19,7 @@
     TrioClock,
     fault,
 )
-from radishfield.crashes import CrashGuard, CrashReport, ToldEnd
+from radishfield.crashes import CrashGuard, CrashReport, TargetCrashEntry
 from radishfield.decisions import Scheduler
 from radishfield.fleet import SpreadSettings
 from radishfield.serving import CrashSharing, Dispatcher, TargetCrashes
@@ -225,7 +225,7 @@
 
 
 def report_crashes(guard, digest):
-    ends = [ToldEnd(f"gone-{number}", 1, "z", 1.0) for number in range(3)]
+    ends = [TargetCrashEntry(f"gone-{number}", 1, "z", 1.0) for number in range(3)]
     guard.learn([CrashReport(digest, ends)], "z")
 
 
@@ -285,10 +285,10 @@
         await trio.sleep(0.1)
         nursery.start_soon(call)
         await trio.sleep(0.5)
-        ends = [ToldEnd(f"gone-{number}", 1, "z", 1.0) for number in range(3)]
+        ends = [TargetCrashEntry(f"gone-{number}", 1, "z", 1.0) for number in range(3)]
         now = trio.current_time()
         guard.book.merge(CrashReport(digest_of(pending_request), ends), now)
-        guard._look(lambda digest, verdict: guard.outlived(digest, "r0"))
+        guard._look(lambda digest, verdict: guard.record_survival(digest, "r0"))
         await trio.sleep(0.1)
         assert results[0].error.outcome is Outcome.NOT_RUN
 
--- a/radishfield/settings/__init__.py
+++ b/radishfield/settings/__init__.py
@@ -4,7 +4,7 @@
 All faults of a file are returned together, as values.
 """
 
-from radishfield.core import loaded_on_use
+from radishfield.core import lazy_getattr
 from radishfield.settings._reader import EntrySettings
 from radishfield.settings._router import (
     ROUTER_SECTIONS,
@@ -30,7 +30,7 @@
 )
 from radishfield.settings._units import PeerKey
 
-__getattr__ = loaded_on_use(
+__getattr__ = lazy_getattr(
     {
         "settings_table": "radishfield.settings._printer",
         "settings_text": "radishfield.settings._printer",
--- a/radishfield/telemetry/__init__.py
+++ b/radishfield/telemetry/__init__.py
@@ -1,6 +1,6 @@
 """Logs, metrics and request records of a host."""
 
-from radishfield.core import loaded_on_use
+from radishfield.core import lazy_getattr
 from radishfield.telemetry._deferred import DeferredTelemetry
 from radishfield.telemetry._kinds import RequestKind
 from radishfield.telemetry._lines import LineWriter
@@ -19,7 +19,7 @@
 
 # Loading the metrics takes a fifth of a router's start-up time; the observer needs
 # the scheduler and with it the graph library, 13 MB that a router never uses.
-__getattr__ = loaded_on_use(
+__getattr__ = lazy_getattr(
     {
         "NullTelemetry": "radishfield.telemetry._metrics",
         "Telemetry": "radishfield.telemetry._metrics",
--- a/standins/engine_streams.py
+++ b/standins/engine_streams.py
@@ -13,7 +13,7 @@
 from radishfield.edges._target_wire import ErrorLine, Step
 from standins.engine_control import StartRun
 from standins.engine_steps import Steps
-from standins.model import first_hidden, word_of
+from standins.model import decode_word, first_hidden
 
 # An attempt without a listener for this long is cancelled: its entry host has
 # ended, or has abandoned the attempt.
@@ -142,7 +142,7 @@
                     return problem
                 case Result(ok=done):
                     pass
-            committed.append(word_of(done.hidden))
+            committed.append(decode_word(done.hidden))
             receipt = Receipt(start.request_id, start.attempt, position, done.hops)
             if position == self._steps.controls.faults.corrupt_at:
                 receipt = replace(receipt, hops=done.hops[:-1])
--- a/standins/entry_host.py
+++ b/standins/entry_host.py
@@ -91,7 +91,7 @@
             self.peers,
             self.facts,
             clock,
-            self.directory.see_hosts,
+            self.directory.observe_hosts,
             rng,
         )
         self.poller = LoadPoller(
@@ -162,16 +162,16 @@
             await self.nursery.start(host.run)
         return added
 
-    def cut_zone(self, zone: str) -> None:
+    def partition_zone(self, zone: str) -> None:
         """Disconnect a zone from the other zones and from the platform."""
         zone_hosts = [host for host in self.hosts if host.zone == zone]
         partitioned = {host.address for host in zone_hosts}
-        self.network.faults.is_cut = lambda one, other: (one in partitioned) != (
-            other in partitioned
-        )
+        self.network.faults.is_partitioned = lambda one, other: (
+            one in partitioned
+        ) != (other in partitioned)
         self.platform.faults.cut_off.update(host.id for host in zone_hosts)
 
     def heal(self) -> None:
         """Remove all partitions."""
-        self.network.faults.is_cut = lambda one, other: False
+        self.network.faults.is_partitioned = lambda one, other: False
         self.platform.faults.cut_off.clear()
--- a/standins/model.py
+++ b/standins/model.py
@@ -41,7 +41,7 @@
     return hidden
 
 
-def word_of(hidden: str) -> str:
+def decode_word(hidden: str) -> str:
     """Return the word that the last layer's hidden state encodes.
 
     It ends with a blank, because an answer is the joined text of its tokens.
@@ -56,5 +56,5 @@
     words: list[str] = []
     for _ in range(count):
         hidden = first_hidden(model, prompt, words)
-        words.append(word_of(run_layers(hidden, 0, model_layers)))
+        words.append(decode_word(run_layers(hidden, 0, model_layers)))
     return tuple(words)
--- a/standins/peer_network.py
+++ b/standins/peer_network.py
@@ -20,7 +20,7 @@
 
     lost_share: float = 0.0
     delay_s: float = 0.0005
-    is_cut: Callable[[str, str], bool] = lambda one, other: False
+    is_partitioned: Callable[[str, str], bool] = lambda one, other: False
     silent: set[str] = field(default_factory=set)
     lag_s_by_address: dict[str, float] = field(default_factory=dict)
 
@@ -42,7 +42,7 @@
     def find(self, sender: str, address: str) -> "MemoryTransport | None":
         """Return the transport at an address, if it can be reached."""
         faults = self.faults
-        if {sender, address} & faults.silent or faults.is_cut(sender, address):
+        if {sender, address} & faults.silent or faults.is_partitioned(sender, address):
             return None
         return self.transport_by_address.get(address)
 
--- a/standins/routed_targets.py
+++ b/standins/routed_targets.py
@@ -158,7 +158,7 @@
     events: int = 6
     gap_s: float = 0.02
     dead: bool = False
-    cut_after: int = 0
+    abort_after_events: int = 0
     places: int = 0
     crash: Callable[[str], None] = lambda request_id: None
     crash_after_s: float = CRASH_AFTER_S
@@ -288,8 +288,8 @@
                 if stalled_s >= STALL_S:
                     return
             event = b"id: %d\ndata: token %d\n\n" % (number, number)
-            if self.cut_after and number > self.cut_after:
-                self.cut_after = 0
+            if self.abort_after_events and number > self.abort_after_events:
+                self.abort_after_events = 0
                 await send_chunk(send, event[:7])
                 return
             await send_chunk(send, event)
--- a/standins/router_process.py
+++ b/standins/router_process.py
@@ -5,7 +5,7 @@
 import sys
 from pathlib import Path
 
-USUAL_PROMISES = "retry_slack = 100\n"
+TYPICAL_PROMISES = "retry_slack = 100\n"
 
 
 class RouterProcess:
@@ -25,7 +25,7 @@
         folder: Path,
         ports: list[int],
         store: str,
-        promises: str = USUAL_PROMISES,
+        promises: str = TYPICAL_PROMISES,
         source: str = "",
     ):
         self.number = number
