--- a/proofs/_fleet.py
+++ b/proofs/_fleet.py
@@ -365,9 +365,7 @@
         spread_settings = SpreadSettings(host.id, host.zone)
         watcher_settings = WatcherSettings(host.id, host.zone)
         spreader = FactSpreader(spread_settings, peers, facts, clock, rng)
-        watcher = PlatformWatcher(
-            watcher_settings, port, peers, facts, clock, chance=rng
-        )
+        watcher = PlatformWatcher(watcher_settings, port, peers, facts, clock, rng=rng)
         scope = host.scope
 
         async def serve() -> None:
--- a/proofs/_leases.py
+++ b/proofs/_leases.py
@@ -170,7 +170,7 @@
             platform,
             world.zone,
             clock,
-            chance=random.Random(host_id),
+            rng=random.Random(host_id),
         )
         facts = FactTable()
         for number in range(TARGETS):
--- a/radishfield/crashes/_guard.py
+++ b/radishfield/crashes/_guard.py
@@ -19,7 +19,7 @@
     ----------
     book : CrashBook
         Crashes seen by all hosts, as far as their reports have reached this host.
-    tell : callable
+    announce : callable
         Reports the state of the request with a digest to the other hosts.
     counted : int
         Number of crashes that this host detected itself.
@@ -33,7 +33,7 @@
         "_stops_by_digest",
         "book",
         "counted",
-        "tell",
+        "announce",
     )
 
     def __init__(self, host_id: str, clock: Clock):
@@ -43,7 +43,7 @@
         self._refused: set[str] = set()
         self._stops_by_digest: dict[str, set[Callable[[], None]]] = {}
         self.book = CrashBook()
-        self.tell: Callable[[str], None] = lambda digest: None
+        self.announce: Callable[[str], None] = lambda digest: None
         self.counted = 0
 
     async def watch(
@@ -140,7 +140,7 @@
         if not self.book.add_crash(digest, crash):
             return False
         self.counted += 1
-        self.tell(digest)
+        self.announce(digest)
         self._wake()
         return True
 
@@ -148,7 +148,7 @@
         """Record that a target has survived the start of a request."""
         if self.book.add_survival(digest, self._clock.now()):
             log_event("request.cleared", request=request_id, digest=digest)
-            self.tell(digest)
+            self.announce(digest)
             self._wake()
 
     def learn(self, reports: Iterable[CrashReport], told_by: str) -> list[str]:
@@ -160,7 +160,7 @@
                 changed.append(report.digest)
                 self._log_report(report.digest, told_by)
             if self.book.contradicts(report):
-                self.tell(report.digest)
+                self.announce(report.digest)
         if changed:
             self._wake()
         return changed
--- a/radishfield/fleet/_facts.py
+++ b/radishfield/fleet/_facts.py
@@ -47,7 +47,7 @@
 
     Attributes
     ----------
-    is_known : bool
+    is_filled : bool
         Whether the table has been filled once from the platform or from a peer
         whose own table has.  Until then a profile that does not exist cannot
         be distinguished from one that has not been received yet.
--- a/radishfield/fleet/_leases.py
+++ b/radishfield/fleet/_leases.py
@@ -129,14 +129,14 @@
         peers: PeerPort,
         clock: Clock,
         new_change_id: Callable[[], str] = lambda: uuid.uuid4().hex,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
     ):
         self._settings = settings
         self._platform = platform
         self._peers = peers
         self._clock = clock
         self._new_change_id = new_change_id
-        self._rng = chance or random.Random()
+        self._rng = rng or random.Random()
         self._held: HeldLease | None = None
         self._record: LeaseRecord | None = None
         self._version = 0
--- a/radishfield/fleet/_load_poller.py
+++ b/radishfield/fleet/_load_poller.py
@@ -131,7 +131,7 @@
         facts: FactTable,
         clock: Clock,
         on_report: Callable[[LoadReport], None] = lambda report: None,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
     ):
         self._settings = settings
         self._port = port
@@ -140,7 +140,7 @@
         self._facts = facts
         self._clock = clock
         self._on_report = on_report
-        self._rng = chance or random.Random()
+        self._rng = rng or random.Random()
         self._newest_by_id: dict[str, LoadReport] = {}
         self._newest_by_hash: dict[int, LoadReport] = {}
         self._received_at_by_id: dict[str, float] = {}
--- a/radishfield/fleet/_watcher.py
+++ b/radishfield/fleet/_watcher.py
@@ -102,7 +102,7 @@
         facts: FactTable,
         clock: Clock,
         on_hosts: Callable[[HostListing], None] = lambda listing: None,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
     ):
         self._settings = settings
         self._platform = platform
@@ -110,7 +110,7 @@
         self._facts = facts
         self._clock = clock
         self._on_hosts = on_hosts
-        self._rng = chance or random.Random()
+        self._rng = rng or random.Random()
         self._failures = 0
         self.gaps = 0
         self.last_answer_at: float | None = None
--- a/radishfield/fleet/leases_test.py
+++ b/radishfield/fleet/leases_test.py
@@ -72,7 +72,7 @@
             self.platform.as_caller(host),
             TwoPeers(),
             clock or self.clock,
-            chance=random.Random(1),
+            rng=random.Random(1),
         )
 
     def sender(self, keeper, **options):
--- a/radishfield/forwarding/_active_stream.py
+++ b/radishfield/forwarding/_active_stream.py
@@ -42,7 +42,7 @@
         "path",
         "scope",
         "may_resume",
-        "usual_gap_s",
+        "typical_gap_s",
         "_first_event_at",
         "_kept_until",
     )
@@ -65,7 +65,7 @@
         self.abandon_reason = ""
         self.moving = False
         self.may_resume = True
-        self.usual_gap_s = 0.0
+        self.typical_gap_s = 0.0
         self.prepare_successor = prepare_successor
         self._first_event_at: float | None = None
         self._kept_until = now
@@ -75,8 +75,8 @@
         """Record the arrival of an event."""
         if self.has_events:
             gap_s = now - self.last_progress_at
-            before_s = self.usual_gap_s or gap_s
-            self.usual_gap_s = (
+            before_s = self.typical_gap_s or gap_s
+            self.typical_gap_s = (
                 GAP_HISTORY_WEIGHT * before_s + (1 - GAP_HISTORY_WEIGHT) * gap_s
             )
         else:
@@ -96,7 +96,7 @@
     def stop(self) -> None:
         """End the attempt, unless its target has started to answer."""
         if not self.has_events:
-            self.abandon_reason = "targets ended under it"
+            self.abandon_reason = "targets crashed under this request"
             self.scope.cancel()
 
     def silence(self, now: float) -> StreamSilence:
@@ -106,7 +106,7 @@
             target_ids=tuple(stage.target_id for stage in self.path),
             silent_s=now - self.last_progress_at,
             has_events=self.has_events,
-            usual_gap_s=self.usual_gap_s,
+            typical_gap_s=self.typical_gap_s,
             allowed_s=route.allowed_silence_s(self.has_events),
             caller_patience_s=route.caller_patience_s,
             report_lag_s=self.engine.report_lag_s if self.engine else 0.0,
--- a/radishfield/forwarding/_call.py
+++ b/radishfield/forwarding/_call.py
@@ -165,7 +165,7 @@
         Digest that is equal for the same request of the same caller under another id.
     may_have_run : bool
         Some target may have run it, completely or in part.
-    repeat_reserved : bool
+    retry_reserved : bool
         A retry was taken from the retry budget and has not been sent yet.
     times : StreamTimes
         Timings of its stream; unused for a request with a single answer.
--- a/radishfield/forwarding/_crash_gossip.py
+++ b/radishfield/forwarding/_crash_gossip.py
@@ -42,7 +42,7 @@
                 digests, [*self._zone_peers(), *self._book.remote_watchers()]
             )
 
-    def hear(self, message: PeerCrashes) -> None:
+    def handle_report(self, message: PeerCrashes) -> None:
         """Merge reports of another host and forward new ones within the zone."""
         new_digests = self._view.crashes.learn(message.reports, message.host_id)
         if new_digests and message.zone != self._view.zone:
--- a/radishfield/forwarding/_crash_watch.py
+++ b/radishfield/forwarding/_crash_watch.py
@@ -46,7 +46,7 @@
         failures = 0
         while not await self._records.read():
             failures += 1
-            await trio.sleep(backoff_s(failures, self._view.chance))
+            await trio.sleep(backoff_s(failures, self._view.rng))
 
     async def check_failed_attempt(
         self, call: Call, record: TargetRecord, problem: Fault
@@ -99,6 +99,6 @@
         failures = 0
         while not await self._records.write(digest):
             failures += 1
-            await trio.sleep(backoff_s(failures, self._view.chance))
+            await trio.sleep(backoff_s(failures, self._view.rng))
             if self._view.crashes.book.verdict(digest, self._view.clock.now()) is None:
                 return
--- a/radishfield/forwarding/_gossip.py
+++ b/radishfield/forwarding/_gossip.py
@@ -65,7 +65,7 @@
 If its report were applied, neighbours would exclude targets that they can reach."""
 MAX_LIST_CONFIRMATIONS = 8
 """Confirmations by watchers that are kept: those of about one and a half seconds."""
-MAX_PACES = 40
+MAX_SLOWDOWNS = 40
 """Maximum number of slow targets in a message, some 25 bytes each.  If more are slow
 at once, the whole fleet is affected and no path avoids them."""
 MAX_ECHOES = 120
@@ -203,7 +203,7 @@
                 now - total.at,
                 work,
                 encode_link_shares(shares),
-                self._paces(now),
+                self._slowdowns(now),
             )
             data = encoder.encode(message)
             if len(data) > DATAGRAM_BYTES:
@@ -266,7 +266,7 @@
                     if now - received_at < FORWARD_DUTY_S
                 ],
                 self._view.directory.recently_answered(now),
-                self._paces(now),
+                self._slowdowns(now),
                 self._view.crashes.book.checksum(),
             )
         )
@@ -281,16 +281,18 @@
             received = sorted(received, reverse=True)[:MAX_ECHOES]
         return [Echo(host_id, sent_at) for _, host_id, sent_at in received]
 
-    def _paces(self, now: float) -> list[TargetSlowdown]:
+    def _slowdowns(self, now: float) -> list[TargetSlowdown]:
         return [
-            TargetSlowdown(target_id, round(pace, 2), round(age_s, 2))
-            for target_id, pace, age_s in self._view.paces.known(now)
-        ][:MAX_PACES]
+            TargetSlowdown(target_id, round(slowdown, 2), round(age_s, 2))
+            for target_id, slowdown, age_s in self._view.slowdowns.known(now)
+        ][:MAX_SLOWDOWNS]
 
-    def _record_paces(self, paces: list[TargetSlowdown]) -> None:
+    def _record_slowdowns(self, slowdowns: list[TargetSlowdown]) -> None:
         now = self._view.clock.now()
-        for item in paces:
-            self._view.paces.note(item.target_id, item.pace, now - max(0.0, item.age_s))
+        for item in slowdowns:
+            self._view.slowdowns.note(
+                item.target_id, item.slowdown, now - max(0.0, item.age_s)
+            )
 
     def _version(self) -> int:
         table = self._view.table
@@ -313,7 +315,7 @@
                 case PeerConfig() as message:
                     self._view.on_config(message)
                 case PeerCrashes() as message:
-                    self._crashes.hear(message)
+                    self._crashes.handle_report(message)
                 case PeerZoneTotal() as total:
                     self._apply_zone_total(total)
                 case PeerStatus() as status:
@@ -329,7 +331,7 @@
         self._view.links.sums.take(
             message.zone, ZoneTotal(at, decode_link_shares(message.links))
         )
-        self._record_paces(message.paces)
+        self._record_slowdowns(message.slowdowns)
 
     def _apply_status(self, status: PeerStatus, address: tuple[str, int]) -> None:
         if status.host_id == self._host_id:
@@ -362,7 +364,7 @@
         self._view.load.report_remote(
             status.host_id, decode_work(status.work), now, status.zone
         )
-        self._record_paces(status.paces)
+        self._record_slowdowns(status.slowdowns)
         self._crashes.compare(status.host_id, peer, status.crashes_checksum)
         for incarnation in status.leaving:
             self._view.directory.mark_leaving(incarnation)
--- a/radishfield/forwarding/_peer_messages.py
+++ b/radishfield/forwarding/_peer_messages.py
@@ -44,7 +44,7 @@
     """Slowdown factor of a target against others of its kind, ``age_s`` ago."""
 
     target_id: str
-    pace: float
+    slowdown: float
     age_s: float
 
 
@@ -104,7 +104,7 @@
     age_s: float
     work: list[Work]
     links: list[LinkShare] = []
-    paces: list[TargetSlowdown] = []
+    slowdowns: list[TargetSlowdown] = []
 
 
 class PeerStatus(msgspec.Struct, array_like=True, tag="status"):
@@ -128,7 +128,7 @@
         Duties that the sender recently received from their holders.
     answered : list of tuple
         Targets that the sender had excluded and that have since answered it.
-    paces : list of Pace
+    slowdowns : list of TargetSlowdown
         Targets that are slow, or were until recently.
     crashes_checksum : int
         Checksum that is equal for hosts with the same records of target crashes
@@ -154,7 +154,7 @@
     targets_age_s: float = -1.0
     forwarded_duties: list[str] = []
     answered: list[tuple[str, int]] = []
-    paces: list[TargetSlowdown] = []
+    slowdowns: list[TargetSlowdown] = []
     crashes_checksum: int = 0
 
 
--- a/radishfield/forwarding/_plain.py
+++ b/radishfield/forwarding/_plain.py
@@ -131,7 +131,7 @@
                 self._failures,
                 self._view.zone,
                 call.tried,
-                self._view.chance,
+                self._view.rng,
             )
             if record is not None:
                 return record
--- a/radishfield/forwarding/_slow_targets.py
+++ b/radishfield/forwarding/_slow_targets.py
@@ -42,24 +42,26 @@
         Only one target is queried per check: when all streams are slow, the cause is
         load and not a target, and the queries of hundreds of hosts would be useless.
         """
-        now, paces = self._view.clock.now(), self._view.paces
+        now, slowdowns = self._view.clock.now(), self._view.slowdowns
         if now < self._next_check_at:
             return
         self._next_check_at = now + CHECK_INTERVAL_S
-        paces.expire(now)
+        slowdowns.expire(now)
         wanted = self._targets_of_slow(streams)
         if self._view.watch_duty.on_duty:
-            wanted += paces.to_ask(now)
+            wanted += slowdowns.to_ask(now)
         due = [target_id for target_id in set(wanted) if self._is_due(target_id, now)]
         if due:
             # Hosts with the same slow path query different stages of it.
-            target_id = self._view.chance.choice(due)
+            target_id = self._view.rng.choice(due)
             self._queried_at_by_id[target_id] = now
             nursery.start_soon(self._query, target_id)
 
     def note(self, target_id: str, report: TargetReport) -> None:
         """Record a target's slowdown factor; log it if it became slow or healthy."""
-        if not self._view.paces.note(target_id, report.pace, self._view.clock.now()):
+        if not self._view.slowdowns.note(
+            target_id, report.pace, self._view.clock.now()
+        ):
             return
         is_slow = report.pace > MAX_NORMAL_SLOWDOWN
         self.found_count += is_slow
@@ -71,20 +73,20 @@
         )
 
     def _targets_of_slow(self, streams: Iterable[ActiveStream]) -> list[str]:
-        paces = self._view.paces
+        slowdowns = self._view.slowdowns
         found: list[str] = []
         for stream in streams:
-            if stream.engine is None or not stream.usual_gap_s or stream.moving:
+            if stream.engine is None or not stream.typical_gap_s or stream.moving:
                 continue
             path_s = self._path_s(stream)
-            if paces.is_slow(stream.usual_gap_s, path_s):
+            if slowdowns.is_slow(stream.typical_gap_s, path_s):
                 found += [stage.target_id for stage in stream.path]
             else:
-                paces.learn(stream.usual_gap_s, path_s)
+                slowdowns.learn(stream.typical_gap_s, path_s)
         return found
 
     def _is_due(self, target_id: str, now: float) -> bool:
-        known_ago_s = self._view.paces.age_s(target_id, now)
+        known_ago_s = self._view.slowdowns.age_s(target_id, now)
         last_query_age_s = now - self._queried_at_by_id.get(target_id, -1e9)
         return min(known_ago_s, last_query_age_s) >= QUERY_INTERVAL_S
 
--- a/radishfield/forwarding/_stream_paths.py
+++ b/radishfield/forwarding/_stream_paths.py
@@ -152,7 +152,7 @@
             NO_FAILURES,
             view.zone,
             attempts.excluded if first_ids is None else (),
-            view.chance,
+            view.rng,
         )
         if record is None:
             return Error(fault(ResultCode.NO_TARGET, "", NO_PATH_RETRY_S))
@@ -177,7 +177,7 @@
             path = finder.find(
                 records,
                 progress.demand(engine),
-                pace_by_id=self._view.paces.by_id(),
+                slowdown_by_id=self._view.slowdowns.by_id(),
                 first_ids=first_ids,
             )
             if path is not None:
--- a/radishfield/forwarding/_view.py
+++ b/radishfield/forwarding/_view.py
@@ -143,7 +143,7 @@
         the zone.
     crashes : CrashGuard
         Records of requests under which targets crashed.
-    crash_news : UpdateBuffer
+    crash_updates : UpdateBuffer
         Digests of the requests whose crashes are to be reported to other hosts.
     config_reads : int
         Answers of the store that held the configuration.
@@ -155,7 +155,7 @@
         Apply updates of targets and of the configuration from another host.
     duty_reported_at : dict
         When a service's placement was last reported as held by another host.
-    room_freed : trio.Event
+    capacity_freed : trio.Event
         Set, and replaced, whenever waiting requests should check for paths again.
     store_back : trio.Event
         Set, and replaced, on a sign that the store can be reached again.
@@ -174,12 +174,12 @@
     load: LoadTable = msgspec.field(default_factory=LoadTable)
     links: LinkUsage = msgspec.field(default_factory=LinkUsage)
     gate: CrossingGate = msgspec.field(default_factory=CrossingGate)
-    paces: SlowdownTable = msgspec.field(default_factory=SlowdownTable)
+    slowdowns: SlowdownTable = msgspec.field(default_factory=SlowdownTable)
     hosts: int = 1
     leaving_since: float | None = None
     in_flight: int = 0
     streams_cut: int = 0
-    chance: random.Random = msgspec.field(default_factory=random.Random)
+    rng: random.Random = msgspec.field(default_factory=random.Random)
     capacity_freed: trio.Event = msgspec.field(default_factory=trio.Event)
     store_back: trio.Event = msgspec.field(default_factory=trio.Event)
     followers_woken: trio.Event = msgspec.field(default_factory=trio.Event)
@@ -206,7 +206,7 @@
     def __post_init__(self):
         if self.crashes is None:
             self.crashes = CrashGuard(self.host_id, self.clock)
-        self.crashes.tell = self.crash_updates.add
+        self.crashes.announce = self.crash_updates.add
 
     @property
     def leaving(self) -> bool:
@@ -311,7 +311,7 @@
         if not self._lacks_remote_state():
             spread = choice_spread(self._unreported_starts(service) + moving_streams)
         return PathFinder(
-            engine, self.load, self.zone, shares, closed, spread, self.chance
+            engine, self.load, self.zone, shares, closed, spread, self.rng
         )
 
     def _lacks_remote_state(self) -> bool:
@@ -331,12 +331,12 @@
     ) -> bool:
         capacity = free_prompt_capacity(share, engine.transfer_ms(engine.usual_prompt))
         if moving_streams:
-            return draw(capacity, moving_streams, self.chance)
+            return draw(capacity, moving_streams, self.rng)
         now = self.clock.now()
         own_crossings = self.links.own_crossings(pair, now - ANNOUNCE_DELAY_S)
         waiting = sum(len(queue) for queue in self._queue_by_service.values())
         contenders = self.hosts * (own_crossings + waiting)
-        return self.gate.is_open(pair, capacity, contenders, now, self.chance)
+        return self.gate.is_open(pair, capacity, contenders, now, self.rng)
 
     def _pairs(self) -> set[Pair]:
         """Return the links between all zones that hold targets."""
@@ -372,7 +372,7 @@
         share = shares[0]
         if len(shares) > 1:
             weights = [candidate.weight for candidate in shares]
-            share = self.chance.choices(shares, weights)[0]
+            share = self.rng.choices(shares, weights)[0]
         known = self.table.config.service_by_name.get(share.service)
         return known or ServiceSpec(share.service, "", 100)
 
--- a/radishfield/forwarding/_watchdog.py
+++ b/radishfield/forwarding/_watchdog.py
@@ -369,7 +369,7 @@
             healthy,
             stream.demand,
             stream.path[0],
-            self._view.paces.by_id(),
+            self._view.slowdowns.by_id(),
             current_ids,
         )
 
--- a/radishfield/forwarding/_witness_probe.py
+++ b/radishfield/forwarding/_witness_probe.py
@@ -81,7 +81,7 @@
             and record.id != target_id
             and not view.directory.suspected(record.id, now)
         ]
-        view.chance.shuffle(others)
+        view.rng.shuffle(others)
         others.sort(key=lambda item: item.id in probed_ids)
         near = [record for record in others if record.zone == view.zone]
         far = [record for record in others if record.zone != view.zone]
--- a/radishfield/forwarding/conftest.py
+++ b/radishfield/forwarding/conftest.py
@@ -251,7 +251,7 @@
 
 
 @asynccontextmanager
-async def world(tmp_path):
+async def open_testbed(tmp_path):
     store = ObjectStoreApp()
     async with trio.open_nursery() as nursery:
         yield RouterTestbed(store, LayeredFleet(), nursery, tmp_path)
@@ -263,7 +263,7 @@
 
     async def main():
         with trio.fail_after(limit_s):
-            async with world(tmp_path) as testbed:
+            async with open_testbed(tmp_path) as testbed:
                 await scenario(testbed)
 
     trio.run(main)
--- a/radishfield/forwarding/crashes_test.py
+++ b/radishfield/forwarding/crashes_test.py
@@ -10,7 +10,7 @@
 from radishfield.forwarding._peer_messages import PeerCrashes
 from radishfield.forwarding._peers import Peer, PeerBook
 from radishfield.forwarding._view import RouterView
-from radishfield.forwarding.conftest import world
+from radishfield.forwarding.conftest import open_testbed
 from radishfield.limits import RetryAllowance
 from radishfield.routing import Freshness
 from standins.routed_config import HOST_NAME, config
@@ -31,7 +31,7 @@
 
     async def main():
         with trio.fail_after(limit_s):
-            async with world(tmp_path) as testbed:
+            async with open_testbed(tmp_path) as testbed:
                 settings = config()
                 for rule in settings["routes"]:
                     # No stream ends at its route's timeout on a slow machine.
@@ -215,7 +215,7 @@
 
     async def main():
         with trio.fail_after(20.0):
-            async with world(tmp_path) as testbed:
+            async with open_testbed(tmp_path) as testbed:
                 await scenario(testbed)
 
     trio.run(main)
@@ -314,7 +314,7 @@
 
     async def main():
         with trio.fail_after(20.0):
-            async with world(tmp_path) as testbed:
+            async with open_testbed(tmp_path) as testbed:
                 testbed.store.put("config", "main", config())
                 routers = await testbed.start_zone(HOSTS)
                 ends = [
@@ -354,13 +354,13 @@
     sent = []
     gossip = CrashGossip("here", view, book, lambda data, peers: sent.append(peers))
     report = CrashReport("d", [TargetCrashEntry("t1", 1, "far", 0.0)])
-    gossip.hear(PeerCrashes("far", "b", [report]))
+    gossip.handle_report(PeerCrashes("far", "b", [report]))
     (recipients,) = sent
     assert {peer.zone for peer in recipients} == {"a"}
     assert len(recipients) == 5
     # A known report is not forwarded again, whoever sends it.
-    gossip.hear(PeerCrashes("far", "b", [report]))
-    gossip.hear(PeerCrashes("near-1", "a", [report]))
+    gossip.handle_report(PeerCrashes("far", "b", [report]))
+    gossip.handle_report(PeerCrashes("near-1", "a", [report]))
     assert len(sent) == 1
 
 
--- a/radishfield/forwarding/crossings_test.py
+++ b/radishfield/forwarding/crossings_test.py
@@ -63,7 +63,7 @@
         for index in range(HOSTS):
             zone = ZONES[index % len(ZONES)]
             view = RouterView(zone, self.clock, RetryAllowance(), Freshness(5.0))
-            view.hosts, view.chance = HOSTS, random.Random(self.seed * 100 + index)
+            view.hosts, view.rng = HOSTS, random.Random(self.seed * 100 + index)
             self.views.append(view)
         self.records = [
             make_target(f"{zone}{first}", zone, "a100", (first, end))
--- a/radishfield/forwarding/router_test.py
+++ b/radishfield/forwarding/router_test.py
@@ -7,32 +7,32 @@
 from standins.routed_config import KEY, config, layered_entry, route
 
 
-async def start_plain_router(played, targets=2, **settings):
-    played.store.put("config", "main", config())
+async def start_plain_router(testbed, targets=2, **settings):
+    testbed.store.put("config", "main", config())
     for number in range(targets):
-        await played.add_plain(f"p{number + 1}")
-    await played.start_router(**settings)
+        await testbed.add_plain(f"p{number + 1}")
+    await testbed.start_router(**settings)
 
 
-async def start_layered_router(played, spans, **changes):
-    played.store.put("config", "main", config())
+async def start_layered_router(testbed, spans, **changes):
+    testbed.store.put("config", "main", config())
     for number, (first, end) in enumerate(spans):
-        await played.add_layered(f"t{number + 1}", first, end, **changes)
-    await played.start_router()
+        await testbed.add_layered(f"t{number + 1}", first, end, **changes)
+    await testbed.start_router()
 
 
-def runs(played):
-    return sum(sum(target.ran.values()) for target in played.plain)
+def runs(testbed):
+    return sum(sum(target.ran.values()) for target in testbed.plain)
 
 
 def test_answer_is_forwarded_unchanged(tmp_path):
-    async def scenario(played):
-        await start_plain_router(played, targets=1)
-        reply = await played.request("/read/x?q=1", x_deadline_ms="3000")
+    async def scenario(testbed):
+        await start_plain_router(testbed, targets=1)
+        reply = await testbed.request("/read/x?q=1", x_deadline_ms="3000")
         assert (reply.status, reply.body) == (200, b"answer of p1")
         assert reply.headers["x-server-stamp"] == "p1"
         assert reply.headers["x-request-id"] == "r1"
-        (seen,) = played.plain[0].seen_headers
+        (seen,) = testbed.plain[0].seen_headers
         assert seen[b"x-tenant"] == b"w1"
         assert b"authorization" not in seen
         assert 0 < int(seen[b"x-deadline-ms"]) <= 3000
@@ -41,15 +41,15 @@
 
 
 def test_caller_errors_have_distinct_statuses(tmp_path):
-    async def scenario(played):
-        await start_plain_router(played, targets=1)
-        assert (await played.request("/nowhere/x")).status == 404
-        assert (await played.request("/read/x", key="wrong")).status == 401
-        assert (await played.request("/read/x", key=None)).status == 401
-        assert (await played.request("/open/x", key=None)).status == 200
-        large = await played.request("/post/x", "POST", body=b"x" * 200_000)
+    async def scenario(testbed):
+        await start_plain_router(testbed, targets=1)
+        assert (await testbed.request("/nowhere/x")).status == 404
+        assert (await testbed.request("/read/x", key="wrong")).status == 401
+        assert (await testbed.request("/read/x", key=None)).status == 401
+        assert (await testbed.request("/open/x", key=None)).status == 200
+        large = await testbed.request("/post/x", "POST", body=b"x" * 200_000)
         assert large.status == 413
-        assert runs(played) == 1
+        assert runs(testbed) == 1
 
     play(tmp_path, scenario)
 
@@ -61,31 +61,31 @@
     or 401, so the host answers that nothing ran and when to retry.
     """
 
-    async def scenario(played):
-        played.store.switches.status = 503
-        played.nursery.start_soon(played.start_router)
-        await played.until(lambda: played.router is not None)
+    async def scenario(testbed):
+        testbed.store.switches.status = 503
+        testbed.nursery.start_soon(testbed.start_router)
+        await testbed.until(lambda: testbed.router is not None)
         await trio.sleep(0.3)
-        reply = await played.request("/read/x")
+        reply = await testbed.request("/read/x")
         assert reply.status == 503
         assert float(reply.headers["retry-after"]) > 0
-        ready = await played.request("/readyz", address=played.ready)
+        ready = await testbed.request("/readyz", address=testbed.ready)
         assert ready.status == 503
-        played.store.put("config", "main", config())
-        played.store.switches.status = 0
-        await played.until(lambda: played.router.view.table is not None)
-        ready = await played.request("/readyz", address=played.ready)
+        testbed.store.put("config", "main", config())
+        testbed.store.switches.status = 0
+        await testbed.until(lambda: testbed.router.view.table is not None)
+        ready = await testbed.request("/readyz", address=testbed.ready)
         assert ready.status == 200
 
     play(tmp_path, scenario)
 
 
 def test_failed_repeatable_request_is_retried_at_another_target(tmp_path):
-    async def scenario(played):
-        await start_plain_router(played)
-        played.plain[0].failures = ["error"] * 5
+    async def scenario(testbed):
+        await start_plain_router(testbed)
+        testbed.plain[0].failures = ["error"] * 5
         for number in range(3):
-            reply = await played.request("/read/x", request_id=f"r{number}")
+            reply = await testbed.request("/read/x", request_id=f"r{number}")
             assert reply.body == b"answer of p2"
 
     play(tmp_path, scenario)
@@ -98,41 +98,41 @@
     second time.  The answer therefore says that the outcome is unknown.
     """
 
-    async def scenario(played):
-        await start_plain_router(played)
-        for target in played.plain:
+    async def scenario(testbed):
+        await start_plain_router(testbed)
+        for target in testbed.plain:
             target.failures = ["cut"]
-        reply = await played.request("/post/x", "POST", body=b"x")
+        reply = await testbed.request("/post/x", "POST", body=b"x")
         assert reply.status == 502
-        assert runs(played) == 1
+        assert runs(testbed) == 1
 
     play(tmp_path, scenario)
 
 
 def test_refused_request_is_sent_to_another_target_even_if_not_repeatable(tmp_path):
-    async def scenario(played):
-        await start_plain_router(played)
-        played.plain[0].failures = ["refuse"]
-        played.plain[1].failures = ["refuse"]
-        refused = await played.request("/post/x", "POST", body=b"x")
+    async def scenario(testbed):
+        await start_plain_router(testbed)
+        testbed.plain[0].failures = ["refuse"]
+        testbed.plain[1].failures = ["refuse"]
+        refused = await testbed.request("/post/x", "POST", body=b"x")
         assert refused.status == 503
         assert float(refused.headers["retry-after"]) > 0
-        assert runs(played) == 0
-        reply = await played.request("/post/x", "POST", body=b"x", request_id="r2")
+        assert runs(testbed) == 0
+        reply = await testbed.request("/post/x", "POST", body=b"x", request_id="r2")
         assert reply.status == 200
 
     play(tmp_path, scenario)
 
 
 def test_an_answer_to_another_request_never_reaches_the_caller(tmp_path):
-    async def scenario(played):
-        await start_plain_router(played)
-        for target in played.plain:
+    async def scenario(testbed):
+        await start_plain_router(testbed)
+        for target in testbed.plain:
             target.failures = ["wrong-id"]
-        reply = await played.request("/post/x", "POST", body=b"x")
+        reply = await testbed.request("/post/x", "POST", body=b"x")
         assert reply.status == 502
         assert b"answer of" not in reply.body
-        again = await played.request("/read/x", request_id="r2")
+        again = await testbed.request("/read/x", request_id="r2")
         assert again.status == 200
 
     play(tmp_path, scenario)
@@ -144,12 +144,12 @@
     A repeatable request is sent to a second target while the caller still waits.
     """
 
-    async def scenario(played):
-        await start_plain_router(played)
-        played.plain[0].failures = ["silent"] * 5
+    async def scenario(testbed):
+        await start_plain_router(testbed)
+        testbed.plain[0].failures = ["silent"] * 5
         for number in range(2):
             started = trio.current_time()
-            reply = await played.request("/read/x", request_id=f"r{number}")
+            reply = await testbed.request("/read/x", request_id=f"r{number}")
             assert reply.body == b"answer of p2"
             assert trio.current_time() - started < 0.8
 
@@ -162,27 +162,27 @@
     The route allows two targets, and two have received the request.
     """
 
-    async def scenario(played):
-        await start_plain_router(played, targets=3)
-        for target in played.plain:
+    async def scenario(testbed):
+        await start_plain_router(testbed, targets=3)
+        for target in testbed.plain:
             target.work_s = 0.7
             target.failures = ["error"] * 3
-        reply = await played.request("/read/x")
+        reply = await testbed.request("/read/x")
         assert reply.status == 500
-        assert sum(bool(target.ran) for target in played.plain) == 2
+        assert sum(bool(target.ran) for target in testbed.plain) == 2
 
     play(tmp_path, scenario)
 
 
 def test_unanswered_non_idempotent_request_ends_at_the_route_timeout(tmp_path):
-    async def scenario(played):
+    async def scenario(testbed):
         routes = [route("post", "non_idempotent", "portal", timeoutMs=400)]
-        played.store.put("config", "main", config(routes=routes))
-        target = await played.add_plain("p1")
+        testbed.store.put("config", "main", config(routes=routes))
+        target = await testbed.add_plain("p1")
         target.failures = ["silent"]
-        await played.start_router()
+        await testbed.start_router()
         started = trio.current_time()
-        reply = await played.request("/post/x", "POST", body=b"x")
+        reply = await testbed.request("/post/x", "POST", body=b"x")
         assert reply.status == 504
         assert 0.35 < trio.current_time() - started < 0.8
 
@@ -190,16 +190,16 @@
 
 
 def test_newer_configuration_is_applied_at_once_and_an_older_one_ignored(tmp_path):
-    async def scenario(played):
-        await start_plain_router(played)
+    async def scenario(testbed):
+        await start_plain_router(testbed)
         only = [route("other", "idempotent", "portal")]
-        played.store.put("config", "main", config(5, routes=only))
-        await played.until(lambda: played.router.view.table.config.version == 5)
-        assert (await played.request("/read/x")).status == 404
-        assert (await played.request("/other/x", request_id="r2")).status == 200
-        played.store.put("config", "main", config(4))
+        testbed.store.put("config", "main", config(5, routes=only))
+        await testbed.until(lambda: testbed.router.view.table.config.version == 5)
+        assert (await testbed.request("/read/x")).status == 404
+        assert (await testbed.request("/other/x", request_id="r2")).status == 200
+        testbed.store.put("config", "main", config(4))
         await trio.sleep(0.5)
-        assert played.router.view.table.config.version == 5
+        assert testbed.router.view.table.config.version == 5
 
     play(tmp_path, scenario)
 
@@ -211,24 +211,24 @@
     and a retry time, not with 401, and still serves public routes.
     """
 
-    async def scenario(played):
-        await start_plain_router(played, revoke="1500ms")
-        assert (await played.request("/read/x")).status == 200
-        played.store.switches.silent = True
+    async def scenario(testbed):
+        await start_plain_router(testbed, revoke="1500ms")
+        assert (await testbed.request("/read/x")).status == 200
+        testbed.store.switches.silent = True
         await trio.sleep(2.6)
-        reply = await played.request("/read/x", request_id="r2")
+        reply = await testbed.request("/read/x", request_id="r2")
         assert reply.status == 503
         assert float(reply.headers["retry-after"]) >= 1
-        public = await played.request("/open/x", request_id="r3")
+        public = await testbed.request("/open/x", request_id="r3")
         assert public.status == 200
 
     play(tmp_path, scenario)
 
 
 def test_malformed_directory_entries_are_ignored_and_the_others_kept(tmp_path):
-    async def scenario(played):
-        await start_plain_router(played)
-        good = played.store.spec("servers", "p1")
+    async def scenario(testbed):
+        await start_plain_router(testbed)
+        good = testbed.store.spec("servers", "p1")
         bad = [
             {},
             None,
@@ -240,49 +240,49 @@
             {name: value for name, value in good.items() if name != "service"},
         ]
         for number, spec in enumerate(bad):
-            played.store.put("servers", f"bad{number}", spec)
+            testbed.store.put("servers", f"bad{number}", spec)
         await trio.sleep(0.6)
-        directory = played.router.view.directory
+        directory = testbed.router.view.directory
         assert sorted(r.id for r in directory.listed("portal")) == ["p1", "p2"]
-        assert (await played.request("/read/x")).status == 200
-        played.store.put("servers", "p1", {"service": 1})
-        await played.until(lambda: len(directory.listed("portal")) == 1)
+        assert (await testbed.request("/read/x")).status == 200
+        testbed.store.put("servers", "p1", {"service": 1})
+        await testbed.until(lambda: len(directory.listed("portal")) == 1)
 
     play(tmp_path, scenario)
 
 
 def test_draining_targets_get_no_requests_after_history_was_lost(tmp_path):
-    async def scenario(played):
-        await start_plain_router(played)
-        entry = played.store.spec("servers", "p1")
-        played.store.put("servers", "p1", entry | {"state": "draining"})
-        played.store.forget_history()
-        directory = played.router.view.directory
-        await played.until(lambda: len(directory.listed("portal")) == 1)
+    async def scenario(testbed):
+        await start_plain_router(testbed)
+        entry = testbed.store.spec("servers", "p1")
+        testbed.store.put("servers", "p1", entry | {"state": "draining"})
+        testbed.store.forget_history()
+        directory = testbed.router.view.directory
+        await testbed.until(lambda: len(directory.listed("portal")) == 1)
         for number in range(4):
-            reply = await played.request("/read/x", request_id=f"r{number}")
+            reply = await testbed.request("/read/x", request_id=f"r{number}")
             assert reply.body == b"answer of p2"
 
     play(tmp_path, scenario)
 
 
 def test_pages_of_a_list_are_read_to_the_end(tmp_path):
-    async def scenario(played):
-        played.store.switches.page_items = 2
-        await start_plain_router(played, targets=5)
-        directory = played.router.view.directory
+    async def scenario(testbed):
+        testbed.store.switches.page_items = 2
+        await start_plain_router(testbed, targets=5)
+        directory = testbed.router.view.directory
         assert len(directory.listed("portal")) == 5
 
     play(tmp_path, scenario)
 
 
 def test_stream_uses_every_stage_and_is_complete(tmp_path):
-    async def scenario(played):
-        await start_layered_router(played, [(0, 40), (40, 80)])
-        reply = await played.request("/stream/x", "POST", body=b"{}")
+    async def scenario(testbed):
+        await start_layered_router(testbed, [(0, 40), (40, 80)])
+        reply = await testbed.request("/stream/x", "POST", body=b"{}")
         assert reply.status == 200 and reply.whole
         assert reply.body.count(b"\n\n") == 6
-        first, second = played.layered
+        first, second = testbed.layered
         path = f"{first.address}=0-40,{second.address}=40-80"
         assert first.paths == [path]
 
@@ -296,13 +296,13 @@
     target's signature, and never the partial event.
     """
 
-    async def scenario(played):
-        await start_layered_router(played, [(0, 80), (0, 80)])
-        for target in played.layered:
+    async def scenario(testbed):
+        await start_layered_router(testbed, [(0, 80), (0, 80)])
+        for target in testbed.layered:
             target.abort_after_events = 3
-        played.layered[1].abort_after_events = 0
+        testbed.layered[1].abort_after_events = 0
         for number in range(2):
-            reply = await played.request(
+            reply = await testbed.request(
                 "/stream/x", "POST", request_id=f"r{number}", body=b"{}"
             )
             assert reply.whole
@@ -319,18 +319,18 @@
     the crashed stage; the path is changed in place, and the caller sees a pause.
     """
 
-    async def scenario(played):
-        await start_layered_router(played, [(0, 40), (40, 80), (40, 80)], events=30)
+    async def scenario(testbed):
+        await start_layered_router(testbed, [(0, 40), (40, 80), (40, 80)], events=30)
         replies = []
 
         async def call():
-            replies.append(await played.request("/stream/x", "POST", body=b"{}"))
+            replies.append(await testbed.request("/stream/x", "POST", body=b"{}"))
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(call)
             await trio.sleep(0.3)
-            first = played.layered[0]
-            used = next(t for t in played.layered[1:] if t.address in first.paths[0])
+            first = testbed.layered[0]
+            used = next(t for t in testbed.layered[1:] if t.address in first.paths[0])
             used.dead = True
         (reply,) = replies
         assert reply.whole and reply.body.count(b"\n\n") == 30
@@ -348,26 +348,26 @@
     the first sign of silence, and the caller never sees a pause that is too long.
     """
 
-    async def scenario(played):
+    async def scenario(testbed):
         pauses = [route("stream", "streaming", "pool", gapAimMs=300)]
-        played.store.put("config", "main", config(routes=pauses))
+        testbed.store.put("config", "main", config(routes=pauses))
         for number, (first, end) in enumerate([(0, 40), (40, 80), (40, 80)]):
-            await played.add_layered(f"t{number + 1}", first, end, events=40)
-        await played.start_router()
+            await testbed.add_layered(f"t{number + 1}", first, end, events=40)
+        await testbed.start_router()
         # The typical answer time is measured first.
-        assert (await played.request("/stream/x", "POST", body=b"{}")).whole
+        assert (await testbed.request("/stream/x", "POST", body=b"{}")).whole
         replies = []
 
         async def call():
             replies.append(
-                await played.request("/stream/x", "POST", request_id="r2", body=b"{}")
+                await testbed.request("/stream/x", "POST", request_id="r2", body=b"{}")
             )
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(call)
             await trio.sleep(0.3)
-            first = played.layered[0]
-            used = next(t for t in played.layered[1:] if t.address in first.paths[-1])
+            first = testbed.layered[0]
+            used = next(t for t in testbed.layered[1:] if t.address in first.paths[-1])
             used.dead = True
         (reply,) = replies
         assert reply.whole and reply.body.count(b"\n\n") == 40
@@ -377,17 +377,17 @@
 
 
 def test_first_target_that_crashes_during_a_stream_is_replaced(tmp_path):
-    async def scenario(played):
-        await start_layered_router(played, [(0, 80), (0, 80)], events=30)
+    async def scenario(testbed):
+        await start_layered_router(testbed, [(0, 80), (0, 80)], events=30)
         replies = []
 
         async def call():
-            replies.append(await played.request("/stream/x", "POST", body=b"{}"))
+            replies.append(await testbed.request("/stream/x", "POST", body=b"{}"))
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(call)
             await trio.sleep(0.3)
-            used = next(target for target in played.layered if target.runs)
+            used = next(target for target in testbed.layered if target.runs)
             used.dead = True
         (reply,) = replies
         ids = [line for line in reply.body.split(b"\n") if line.startswith(b"id")]
@@ -405,12 +405,12 @@
     targets it resumes at one of them.
     """
 
-    async def scenario(played):
-        await start_layered_router(played, [(0, 80)] * 4, events=4)
-        for target in played.layered:
+    async def scenario(testbed):
+        await start_layered_router(testbed, [(0, 80)] * 4, events=4)
+        for target in testbed.layered:
             target.abort_after_events = 1
-        reply = await played.request("/stream/x", "POST", body=b"{}")
-        seen = [target.id for target in played.layered if target.runs["r1"]]
+        reply = await testbed.request("/stream/x", "POST", body=b"{}")
+        seen = [target.id for target in testbed.layered if target.runs["r1"]]
         assert len(seen) == 2
         assert reply.whole
 
@@ -418,10 +418,10 @@
 
 
 def test_a_stream_without_any_path_is_refused_at_once(tmp_path):
-    async def scenario(played):
-        await start_layered_router(played, [(0, 40)])
+    async def scenario(testbed):
+        await start_layered_router(testbed, [(0, 40)])
         started = trio.current_time()
-        reply = await played.request("/stream/x", "POST", body=b"{}")
+        reply = await testbed.request("/stream/x", "POST", body=b"{}")
         assert reply.status == 503
         assert float(reply.headers["retry-after"]) > 0
         assert trio.current_time() - started < 0.3
@@ -436,48 +436,48 @@
     once.  After four of them the caller would get an answer that there is no path.
     """
 
-    async def scenario(played):
-        await start_layered_router(played, [(0, 40), (40, 80)])
+    async def scenario(testbed):
+        await start_layered_router(testbed, [(0, 40), (40, 80)])
         for number in range(20):
             address = f"127.0.0.1:{free_port()}"
             entry = layered_entry(address, 0, 80) | {"zone": "b"}
-            played.store.put("servers", f"far-{number}", entry)
-        view = played.router.view
-        await played.until(lambda: len(list(view.directory.all_records())) == 22)
+            testbed.store.put("servers", f"far-{number}", entry)
+        view = testbed.router.view
+        await testbed.until(lambda: len(list(view.directory.all_records())) == 22)
         for near in ("t1", "t2"):
-            view.paces.note(near, 50.0, view.clock.now())
-        reply = await played.request("/stream/x", "POST", body=b"{}")
+            view.slowdowns.note(near, 50.0, view.clock.now())
+        reply = await testbed.request("/stream/x", "POST", body=b"{}")
         assert reply.status == 200 and reply.whole
 
     play(tmp_path, scenario)
 
 
 def test_work_ends_when_its_caller_disconnects(tmp_path):
-    async def scenario(played):
-        await start_layered_router(played, [(0, 80)], events=500)
+    async def scenario(testbed):
+        await start_layered_router(testbed, [(0, 80)], events=500)
         with trio.move_on_after(0.4):
-            await played.request("/stream/x", "POST", body=b"{}")
-        target = played.layered[0]
-        await played.until(lambda: not target._path_by_request, limit_s=0.5)
-        assert played.router.view.load.own_by_id == {}
+            await testbed.request("/stream/x", "POST", body=b"{}")
+        target = testbed.layered[0]
+        await testbed.until(lambda: not target._path_by_request, limit_s=0.5)
+        assert testbed.router.view.load.own_by_id == {}
 
     play(tmp_path, scenario)
 
 
 def test_empty_targets_are_given_their_layers_once(tmp_path):
-    async def scenario(played):
-        await start_layered_router(played, [(0, 0), (0, 0)])
-        await played.until(lambda: all(t.orders for t in played.layered))
-        spans = sorted((target.first, target.end) for target in played.layered)
+    async def scenario(testbed):
+        await start_layered_router(testbed, [(0, 0), (0, 0)])
+        await testbed.until(lambda: all(t.orders for t in testbed.layered))
+        spans = sorted((target.first, target.end) for target in testbed.layered)
         assert spans == [(0, 40), (40, 80)]
-        assert all(t.order_log[0]["expectRev"] == 0 for t in played.layered)
-        for target in played.layered:
+        assert all(t.order_log[0]["expectRev"] == 0 for t in testbed.layered)
+        for target in testbed.layered:
             held = {"from": target.first, "target": target.end, "version": 1}
-            entry = played.store.spec("servers", target.id) | {"layers": held}
-            played.store.put("servers", target.id, entry)
+            entry = testbed.store.spec("servers", target.id) | {"layers": held}
+            testbed.store.put("servers", target.id, entry)
         await trio.sleep(1.0)
-        assert [target.orders for target in played.layered] == [1, 1]
-        reply = await played.request("/stream/x", "POST", body=b"{}")
+        assert [target.orders for target in testbed.layered] == [1, 1]
+        reply = await testbed.request("/stream/x", "POST", body=b"{}")
         assert reply.whole
 
     play(tmp_path, scenario)
@@ -490,12 +490,12 @@
     before an order is sent to it.
     """
 
-    async def scenario(played):
-        played.store.put("config", "main", config())
-        target = await played.add_layered("t1", 0, 80)
-        entry = played.store.spec("servers", "t1") | {"layers": None}
-        played.store.put("servers", "t1", entry)
-        await played.start_router()
+    async def scenario(testbed):
+        testbed.store.put("config", "main", config())
+        target = await testbed.add_layered("t1", 0, 80)
+        entry = testbed.store.spec("servers", "t1") | {"layers": None}
+        testbed.store.put("servers", "t1", entry)
+        await testbed.start_router()
         await trio.sleep(2.5)
         assert target.order_log == []
 
@@ -503,13 +503,13 @@
 
 
 def test_leaving_host_keeps_serving_and_sends_connection_close(tmp_path):
-    async def scenario(played):
-        await start_plain_router(played)
-        played.stop.set()
-        await played.until(lambda: played.router.view.leaving)
-        ready = await played.request("/readyz", address=played.ready)
+    async def scenario(testbed):
+        await start_plain_router(testbed)
+        testbed.stop.set()
+        await testbed.until(lambda: testbed.router.view.leaving)
+        ready = await testbed.request("/readyz", address=testbed.ready)
         assert ready.status == 503
-        reply = await played.request("/read/x")
+        reply = await testbed.request("/read/x")
         assert reply.status == 200
         assert reply.headers["connection"] == "close"
 
@@ -517,14 +517,14 @@
 
 
 def test_a_key_is_no_longer_admitted_after_its_removal(tmp_path):
-    async def scenario(played):
-        await start_plain_router(played)
-        assert (await played.request("/read/x")).status == 200
+    async def scenario(testbed):
+        await start_plain_router(testbed)
+        assert (await testbed.request("/read/x")).status == 200
         tenants = [{"name": "w1", "apiKeys": ["new"]}]
-        played.store.put("config", "main", config(2, tenants=tenants))
-        await played.until(lambda: played.router.view.table.config.version == 2)
-        assert (await played.request("/read/x", request_id="r2")).status == 401
-        allowed = await played.request("/read/x", request_id="r3", key="new")
+        testbed.store.put("config", "main", config(2, tenants=tenants))
+        await testbed.until(lambda: testbed.router.view.table.config.version == 2)
+        assert (await testbed.request("/read/x", request_id="r2")).status == 401
+        allowed = await testbed.request("/read/x", request_id="r3", key="new")
         assert allowed.status == 200
         assert KEY != "new"
 
@@ -537,13 +537,13 @@
     The request has run; a 503 would say that it has not.
     """
 
-    async def scenario(played):
-        await start_plain_router(played)
-        for target in played.plain:
+    async def scenario(testbed):
+        await start_plain_router(testbed)
+        for target in testbed.plain:
             target.failures = ["cut"] * 5
-        reply = await played.request("/read/x")
+        reply = await testbed.request("/read/x")
         assert reply.status == 502
-        assert runs(played) == 2
+        assert runs(testbed) == 2
 
     play(tmp_path, scenario)
 
@@ -551,17 +551,17 @@
 def test_stream_whose_only_target_crashed_after_start_is_not_answered_503(tmp_path):
     """The only path breaks before the first event and no other path is left."""
 
-    async def scenario(played):
-        await start_layered_router(played, [(0, 80)], events=5, gap_s=30.0)
+    async def scenario(testbed):
+        await start_layered_router(testbed, [(0, 80)], events=5, gap_s=30.0)
         replies = []
 
         async def call():
-            replies.append(await played.request("/stream/x", "POST", body=b"{}"))
+            replies.append(await testbed.request("/stream/x", "POST", body=b"{}"))
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(call)
-            await played.until(lambda: bool(played.layered[0].runs))
-            played.layered[0].dead = True
+            await testbed.until(lambda: bool(testbed.layered[0].runs))
+            testbed.layered[0].dead = True
         assert replies[0].status in (502, 504)
 
     play(tmp_path, scenario)
@@ -574,21 +574,21 @@
     stream resumes at another target, as on paths.
     """
 
-    async def scenario(played):
+    async def scenario(testbed):
         services = [{"name": "pool", "healthPath": "/h", "maxConns": 100}]
-        played.store.put("config", "main", config(services=services))
+        testbed.store.put("config", "main", config(services=services))
         for number in range(2):
-            await played.add_layered(f"t{number + 1}", 0, 80, events=10, gap_s=0.05)
-        played.layered[0].abort_after_events = 4
-        await played.start_router()
+            await testbed.add_layered(f"t{number + 1}", 0, 80, events=10, gap_s=0.05)
+        testbed.layered[0].abort_after_events = 4
+        await testbed.start_router()
         for number in range(4):
-            reply = await played.request(
+            reply = await testbed.request(
                 "/stream/x", "POST", request_id=f"r{number}", body=b"{}"
             )
             ids = [line for line in reply.body.split(b"\n") if line.startswith(b"id")]
             assert reply.whole
             assert ids == [b"id: %d" % event for event in range(1, 11)]
-        assert set(played.layered[0].paths + played.layered[1].paths) == {""}
+        assert set(testbed.layered[0].paths + testbed.layered[1].paths) == {""}
 
     play(tmp_path, scenario)
 
@@ -600,23 +600,23 @@
     it, although its key was valid when it arrived.
     """
 
-    async def scenario(played):
-        await start_layered_router(played, [(0, 80)])
-        load, replies = played.router.view.load, []
+    async def scenario(testbed):
+        await start_layered_router(testbed, [(0, 80)])
+        load, replies = testbed.router.view.load, []
         load.started("t1", 1e9, True)
 
         async def call():
-            replies.append(await played.request("/stream/x", "POST", body=b"{}"))
+            replies.append(await testbed.request("/stream/x", "POST", body=b"{}"))
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(call)
             await trio.sleep(0.3)
             tenants = [{"name": "w1", "apiKeys": ["new"]}]
-            played.store.put("config", "main", config(2, tenants=tenants))
-            await played.until(lambda: played.router.view.table.config.version == 2)
+            testbed.store.put("config", "main", config(2, tenants=tenants))
+            await testbed.until(lambda: testbed.router.view.table.config.version == 2)
             load.ended("t1", 1e9, True)
         assert replies[0].status == 401
-        assert not played.layered[0].runs
+        assert not testbed.layered[0].runs
 
     play(tmp_path, scenario)
 
@@ -624,14 +624,14 @@
 def test_malformed_datagrams_are_counted_on_the_metrics_page(tmp_path):
     """Bytes from an unknown sender reach the peer port and are shown to operators."""
 
-    async def scenario(played):
-        await start_plain_router(played, targets=1)
+    async def scenario(testbed):
+        await start_plain_router(testbed, targets=1)
         with trio.socket.socket(type=trio.socket.SOCK_DGRAM) as sock:
-            host, _, port = played.gossip.rpartition(":")
+            host, _, port = testbed.gossip.rpartition(":")
             await sock.sendto(b"no status", (host, int(port)))
-        peers = played.router._kernel.find("peers", object)
-        await played.until(lambda: peers.malformed == 1)
-        reply = await played.request("/metrics", address=played.metrics)
+        peers = testbed.router._kernel.find("peers", object)
+        await testbed.until(lambda: peers.malformed == 1)
+        reply = await testbed.request("/metrics", address=testbed.metrics)
         lines = reply.body.decode().splitlines()
         (metric_line,) = [x for x in lines if "peer_malformed" in x and x[0] != "#"]
         assert metric_line.endswith(" 1.0")
--- a/radishfield/forwarding/suspicion_test.py
+++ b/radishfield/forwarding/suspicion_test.py
@@ -252,7 +252,7 @@
         await start_zoned_pool(testbed, {"a": 4, "b": 2})
         view = testbed.router.view
         for far in ("b0", "b1"):
-            view.paces.note(far, 50.0, view.clock.now())
+            view.slowdowns.note(far, 50.0, view.clock.now())
 
         def found():
             now = view.clock.now()
--- a/radishfield/platform/_requests.py
+++ b/radishfield/platform/_requests.py
@@ -51,7 +51,7 @@
         Seconds that the caller waits, counted from when it sent the request.
     last_event_id : bytes
         Event after which a stream resumes; empty for a stream from its start.
-    prompt_tokens, most_answer_tokens, likely_answer_tokens : int
+    prompt_tokens, max_answer_tokens, expected_answer_tokens : int
         Zero if the caller does not state the number.
     """
 
--- a/radishfield/routing/_admission_queue.py
+++ b/radishfield/routing/_admission_queue.py
@@ -1,14 +1,14 @@
 """Queue of requests that wait while all paths are full, with early rejection.
 
 When a burst or unreachable targets bring more streams than fit in memory, most of them
-come from a few workspaces. If all waiting requests tried for each freed slot, admission
-would be random. In order of arrival, the largest sender would delay all others, and
-urgent work would wait behind the rest. So the most urgent requests go first, then those
-of the workspace with the fewest running requests, then the earliest. A few requests at
-the head try at the same time, so that a large request does not keep smaller ones from a
-slot that it cannot use.
-
-Waiting is useful only while the caller stays. A request that would not get a slot in
+come from a few workspaces.  If all waiting requests tried for each freed slot,
+admission would be random.  In order of arrival, the largest sender would delay all
+others, and urgent work would wait behind the rest.  So the most urgent requests go
+first, then those of the workspace with the fewest running requests, then the earliest.
+A few requests at the head try at the same time, so that a large request does not keep
+smaller ones from a slot that it cannot use.
+
+Waiting is useful only while the caller stays.  A request that would not get a slot in
 time, at the rate of the last seconds, is rejected at once, with the time after which
 its turn in the queue would have come.
 """
@@ -28,16 +28,16 @@
 four times as large as a typical one."""
 
 MAX_FORECAST_SHARE = 0.8
-"""Share of the maximum wait that a forecast may use. Under lasting overload the queue
-is as long as is allowed. If forecasts could use the full maximum wait, all requests at
+"""Share of the maximum wait that a forecast may use.  Under lasting overload the queue
+is as long as is allowed.  If forecasts could use the full maximum wait, all requests at
 its end would be served just too late and be rejected after a useless wait."""
 
 INITIAL_STREAM_S = 3.0
 """Assumed length of streams until some have ended."""
 
 MIN_WINDOW_S, MAX_WINDOW_S = 1.0, 10.0
-"""Bounds of the window in which freed slots are counted. The window is the typical
-length of a stream, which is learned. Counts over less than one second or more than ten
+"""Bounds of the window in which freed slots are counted.  The window is the typical
+length of a stream, which is learned.  Counts over less than one second or more than ten
 do not describe the current rate."""
 
 LENGTH_DECAY = 0.95
@@ -48,9 +48,9 @@
 """Freed slots, and time, below which there is no rate to forecast from."""
 
 MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S = 0.5, 5.0
-"""Bounds of the time after which a rejected caller returns. One that returns sooner
-finds the same queue. Most callers do not wait longer than a third of the time they have
-left."""
+"""Bounds of the time after which a rejected caller returns.  One that returns sooner
+finds the same queue.  Most callers do not wait longer than a third of the time they
+have left."""
 
 
 class QueueEntry(msgspec.Struct, frozen=True):
--- a/radishfield/routing/_choice.py
+++ b/radishfield/routing/_choice.py
@@ -1,11 +1,11 @@
 """Choice of the target of a plain service that takes a request.
 
-Such a service has a few targets with few slots each. One of them may become slow,
-refuse requests or crash, while every host sees only its own part of the load. The share
-of used slots decides, and among equals the host's own zone is preferred. Without the
-cost for other zones, requests would cross zones for nothing; without the load, a slow
-target would fill up while others idle. Failures count as used slots for a while, so
-that a target that fails quickly does not look like the idlest of all.
+Such a service has a few targets with few slots each.  One of them may become slow,
+refuse requests or crash, while every host sees only its own part of the load.  The
+share of used slots decides, and among equals the host's own zone is preferred.  Without
+the cost for other zones, requests would cross zones for nothing; without the load, a
+slow target would fill up while others idle.  Failures count as used slots for a while,
+so that a target that fails quickly does not look like the idlest of all.
 """
 
 import random
--- a/radishfield/routing/_crossing_gate.py
+++ b/radishfield/routing/_crossing_gate.py
@@ -2,9 +2,9 @@
 
 When targets that many streams pass become unreachable at the same moment, all hosts see
 the same link free, and choose it within the tenths of a second before any of them has
-received a report from the others. Twenty prompts then wait where three fit. A host
+received a report from the others.  Twenty prompts then wait where three fit.  A host
 estimates what the others will do from what it does itself, since callers are spread
-over the hosts at random. Each host uses a link with the probability at which all hosts
+over the hosts at random.  Each host uses a link with the probability at which all hosts
 together fill its free capacity and no more.
 """
 
@@ -15,8 +15,8 @@
 from radishfield.routing._links import FULL_SHARE, WINDOW_S, Pair
 
 ANNOUNCE_DELAY_S = 0.75
-"""Time until most other hosts know of a prompt that was sent. It takes the next status,
-the zone total made from it, and the forwarding of that total."""
+"""Time until most other hosts know of a prompt that was sent.  It takes the next
+status, the zone total made from it, and the forwarding of that total."""
 
 
 class _Draw(msgspec.Struct, frozen=True):
--- a/radishfield/routing/_directory.py
+++ b/radishfield/routing/_directory.py
@@ -207,7 +207,7 @@
 
         Parameters
         ----------
-        until_asked : bool
+        until_answered : bool
             Exclude it beyond that time, until it has answered a probe.  A dead
             stage of a path swallows requests for seconds before this is detected,
             so it is not tested with callers' requests.
--- a/radishfield/routing/_links.py
+++ b/radishfield/routing/_links.py
@@ -1,18 +1,17 @@
 """Usage of the links between zones, and the cost of a further crossing.
 
-When a zone lacks some layers, its requests cross to another zone and back. A prompt
+When a zone lacks some layers, its requests cross to another zone and back.  A prompt
 holds the link for tens of milliseconds, and each token of every stream that crosses
-waits behind it. At half of the link's rate this already doubles the time of a token.
+waits behind it.  At half of the link's rate this already doubles the time of a token.
 Beyond that, streams last longer, hold their memory longer, and the whole fleet fills
-up. A crossing is therefore priced by the wait that it meets and the wait that it
+up.  A crossing is therefore priced by the wait that it meets and the wait that it
 causes.
 
-A link is a queue. When many targets become unreachable at once, every path crosses
-zones, and what exceeds the link's rate stays queued until it is sent, still
-wanted or not. Each stream waits behind prompts whose callers have left and is abandoned
-in its turn, so no stream is served for as long as prompts are sent. So a link that is
-full or has a backlog is closed to further prompts, whether or not there is another
-path.
+A link is a queue.  When many targets become unreachable at once, every path crosses
+zones, and what exceeds the link's rate stays queued until it is sent, still wanted or
+not.  Each stream waits behind prompts whose callers have left and is abandoned in its
+turn, so no stream is served for as long as prompts are sent.  So a link that is full or
+has a backlog is closed to further prompts, whether or not there is another path.
 """
 
 from collections import deque
@@ -31,7 +30,7 @@
 
 MAX_BACKLOG_S = 0.1
 """Backlog from which a link is closed: a sixth of the time in which callers want their
-first event. Some of the backlog is reported late."""
+first event.  Some of the backlog is reported late."""
 
 Pair = tuple[str, str]
 
@@ -95,8 +94,8 @@
     def shares(self, now: float, own_zone: str = "") -> dict[Pair, float]:
         """Return the share of each link's time that all hosts' prompts take.
 
-        Single reports of hosts outside the own zone arrive too seldom to be added up. A
-        zone that sends a total is counted by its total.
+        Single reports of hosts outside the own zone arrive too seldom to be added up.
+        A zone that sends a total is counted by its total.
         """
         sums = self.sums.fresh(now)
         share_maps = [item.by_key for item in sums.values()]
@@ -143,7 +142,7 @@
 def crossing_ms(share: float, transfer_ms: float, delay_ms: float) -> float:
     """Return what crossing a link that is not full costs each token of a stream.
 
-    Half of it is the wait behind the prompts on the link. The other half is the wait
+    Half of it is the wait behind the prompts on the link.  The other half is the wait
     that this stream's own prompt adds for the others.
     """
     busy = min(share, FULL_SHARE)
--- a/radishfield/routing/_load.py
+++ b/radishfield/routing/_load.py
@@ -1,8 +1,8 @@
 """Work at each target: this host's own, and what other hosts report.
 
-When nine hosts send to the same targets, each sees only what it sent itself. Judged by
-that alone, all of them would take the same target for idle. So hosts report their work
-a few times a second. Between two status messages a host counts its own work exactly,
+When nine hosts send to the same targets, each sees only what it sent itself.  Judged by
+that alone, all of them would take the same target for idle.  So hosts report their work
+a few times a second.  Between two status messages a host counts its own work exactly,
 and that of the others as last reported.
 
 In zones of many hosts the totals of zones replace the reports of single hosts.
@@ -16,7 +16,7 @@
 
 REMOTE_LIFETIME_S = 3.0
 """A host that has reported nothing for this long is taken to hold nothing: it was
-killed, or it is partitioned and its work runs out. This is ten status messages at the
+killed, or it is partitioned and its work runs out.  This is ten status messages at the
 typical rate."""
 
 
@@ -93,7 +93,7 @@
         """Use the zone totals, or the reports of single hosts where there are none.
 
         Zones of few hosts send no totals; the reports of their hosts are added one by
-        one. This host counts its own work exactly, so what it had reported when its
+        one.  This host counts its own work exactly, so what it had reported when its
         zone's total was made is subtracted from that total.
         """
         sums = self.sums.fresh(now)
--- a/radishfield/routing/_paces.py
+++ b/radishfield/routing/_paces.py
@@ -1,12 +1,12 @@
 """Detection of targets that are slower than others of their kind.
 
-A target may become slow without failing. Its health check passes and its streams go on,
-each token a little late, and of hundreds of hosts each sees a stream or two of them.
-Callers then wait all evening without any error. So a host compares the pauses of its
-streams with what their paths should take. Where a stream is slower than is typical at
-its host, the targets of its path are queried for their slowdown factor, or pace, which
-identifies the slow one. The host reports it, and all hosts send less there, in
-proportion.
+A target may become slow without failing.  Its health check passes and its streams go
+on, each token a little late, and of hundreds of hosts each sees a stream or two of
+them.  Callers then wait all evening without any error.  So a host compares the pauses
+of its streams with what their paths should take.  Where a stream is slower than is
+typical at its host, the targets of its path are queried for their slowdown factor, or
+pace, which identifies the slow one.  The host reports it, and all hosts send less
+there, in proportion.
 """
 
 import math
@@ -16,7 +16,7 @@
 
 SLOW_RATIO = 1.6
 """Multiple of the typical ratio of pause to path time from which a stream's targets are
-queried. A target of twice its time makes a path of four stages a quarter slower at the
+queried.  A target of twice its time makes a path of four stages a quarter slower at the
 least, and mostly twice as slow, since the others wait for it."""
 
 MIN_STREAMS = 5
--- a/radishfield/routing/_paths.py
+++ b/radishfield/routing/_paths.py
@@ -1,15 +1,15 @@
 """Search for a request's path through targets that hold parts of the model.
 
 Accelerators of very unequal speed share one model, each with its own load, and any of
-them may crash. With a fixed chain per zone, one dead stage would take away the whole
-zone, and a slow stage would get as much work as a fast one. Here each request takes the
-cheapest path over any targets that cover the layers. A stage may be any piece of what a
-target holds, so every set of live targets that covers the model gives a path.
+them may crash.  With a fixed chain per zone, one dead stage would take away the whole
+zone, and a slow stage would get as much work as a fast one.  Here each request takes
+the cheapest path over any targets that cover the layers.  A stage may be any piece of
+what a target holds, so every set of live targets that covers the model gives a path.
 
 The cost of a stage is the time that one token spends there: the fixed part of a step,
-and what each request adds to it, times the share of layers. A target whose memory is
+and what each request adds to it, times the share of layers.  A target whose memory is
 nearly full costs more, since requests that do not fit are evicted in the middle of
-their stream. A target that is full is excluded.
+their stream.  A target that is full is excluded.
 """
 
 import math
@@ -35,7 +35,7 @@
 """Share of a target's memory from which the target costs more than its time."""
 
 MAX_FILL = 0.97
-"""Share of a target's memory above which nothing more is sent. Reservations count a
+"""Share of a target's memory above which nothing more is sent.  Reservations count a
 request's expected length, and some requests grow longer."""
 
 FULL_PENALTY_STEPS = 20.0
@@ -49,7 +49,7 @@
 a zone total arrives, and its transfer."""
 
 MAX_SPREAD = 0.6
-"""Largest deviation of a target's cost, in natural logarithms. Beyond it slow
+"""Largest deviation of a target's cost, in natural logarithms.  Beyond it slow
 accelerators are taken for fast ones, and tokens take a tenth longer."""
 
 HALF_SPREAD_STARTS = 40.0
@@ -58,10 +58,10 @@
 
 
 STARTUP_SPREAD = 1.5
-"""Deviation of a target's cost while nothing is known of other hosts. When all hosts
-have just restarted, the callers of a second come back at once. With less deviation,
+"""Deviation of a target's cost while nothing is known of other hosts.  When all hosts
+have just restarted, the callers of a second come back at once.  With less deviation,
 each host fills the fastest accelerators, and half of the callers are refused by them
-four times over. With this one, paths are chosen nearly at random, and all but a few
+four times over.  With this one, paths are chosen nearly at random, and all but a few
 requests find free capacity at once."""
 
 
@@ -69,10 +69,10 @@
     """Return the deviation by which costs vary at random from request to request.
 
     When two hundred hosts start as many streams in a second, all of them know the same
-    of the targets, half a second late. Each would take the one path that was cheapest
+    of the targets, half a second late.  Each would take the one path that was cheapest
     then: a hundred streams meet where forty fit, are refused or evicted, and half a
-    second later all of them meet on the next path. With random costs they take the
-    cheap paths in proportion. A few hosts that see each other's work keep to the
+    second later all of them meet on the next path.  With random costs they take the
+    cheap paths in proportion.  A few hosts that see each other's work keep to the
     cheapest.
 
     Parameters
@@ -189,7 +189,7 @@
         records: Sequence[TargetRecord],
         demand: Demand,
         first: PathStage | None = None,
-        pace_by_id: Mapping[str, float] | None = None,
+        slowdown_by_id: Mapping[str, float] | None = None,
         holding_ids: Collection[str] = (),
         first_ids: Collection[str] | None = None,
     ) -> Path | None:
@@ -200,7 +200,7 @@
 
         Parameters
         ----------
-        first : PathPart, optional
+        first : PathStage, optional
             The stage with which the path has to begin, unchanged.
         first_ids : collection of str, optional
             The only targets that may be the path's first.
@@ -211,7 +211,7 @@
         versions = {record.weights_version for record in records if record.span}
         for version in sorted(versions, reverse=True):
             same = [record for record in records if record.weights_version == version]
-            path = self._find_among(same, demand, first, pace_by_id, holding_ids)
+            path = self._find_among(same, demand, first, slowdown_by_id, holding_ids)
             # Targets do not detect a gap or an overlap and would answer with
             # tokens of no model, so each path is checked before it is used.
             if path is not None and covers_once(path, self._engine.layers):
@@ -223,11 +223,11 @@
         records: Sequence[TargetRecord],
         demand: Demand,
         first: PathStage | None,
-        pace_by_id: Mapping[str, float] | None,
+        slowdown_by_id: Mapping[str, float] | None,
         holding_ids: Collection[str],
     ) -> Path | None:
         """Return the cheapest path over targets with the same weights."""
-        slowdown_factors = pace_by_id or {}
+        slowdown_factors = slowdown_by_id or {}
         cost_by_id: dict[str, float] = {}
         with_capacity: list[TargetRecord] = []
         for record in records:
--- a/radishfield/routing/_silence.py
+++ b/radishfield/routing/_silence.py
@@ -1,11 +1,11 @@
 """Decisions on when a silent stream is queried, and when it is abandoned.
 
 When a target dies in the middle of a path, every stream that passes it falls silent
-while its first target still answers. No connection breaks for seconds, and callers
-leave after two. So for a stream that is silent for longer than its events typically
-take, the first target is queried. It names the stage that does not answer, and the path
-is then changed around that stage. With earlier queries, every burst would cost calls;
-with later ones, callers would leave before the new path has read the prompt.
+while its first target still answers.  No connection breaks for seconds, and callers
+leave after two.  So for a stream that is silent for longer than its events typically
+take, the first target is queried.  It names the stage that does not answer, and the
+path is then changed around that stage.  With earlier queries, every burst would cost
+calls; with later ones, callers would leave before the new path has read the prompt.
 """
 
 from collections.abc import Iterable
@@ -14,7 +14,7 @@
 
 PROBE_SHARE = 0.3
 """Share of the longest pause that is still on time, or of the time to a first event,
-after which the targets of a silent stream are probed. The rest of a pause of 0.2 s
+after which the targets of a silent stream are probed.  The rest of a pause of 0.2 s
 leaves time for a check, a probe, the order to change the path, one read of the prompt
 at the new stage and one round of a token, about 0.12 s in all."""
 
@@ -57,7 +57,7 @@
         The targets of its path.
     silent_s : float
         Seconds since its last event, or since it was sent.
-    usual_gap_s : float
+    typical_gap_s : float
         Its typical pause between events; 0 before the second one.
     allowed_s : float
         Longest pause, or longest time to its first event, that is on time.
@@ -70,7 +70,7 @@
     target_ids: tuple[str, ...]
     silent_s: float
     has_events: bool
-    usual_gap_s: float
+    typical_gap_s: float
     allowed_s: float
     caller_patience_s: float
     report_lag_s: float
@@ -84,16 +84,16 @@
     @property
     def probe_after_s(self) -> float:
         """Return the silence after which its targets may have to be probed."""
-        return max(PROBE_SHARE * self.allowed_s, TYPICAL_GAPS * self.usual_gap_s)
+        return max(PROBE_SHARE * self.allowed_s, TYPICAL_GAPS * self.typical_gap_s)
 
 
 def targets_to_probe(streams: Iterable[StreamSilence]) -> set[str]:
     """Return the targets that may be dead, judged by all streams together.
 
     When a target dies under a third of all streams, the first target of a path names it
-    only 0.2 s later, when every pause is already too long. A live target that is probed
-    directly answers within milliseconds. Only targets that no other stream has just
-    passed are probed, so that this costs next to nothing while all targets answer.
+    only 0.2 s later, when every pause is already too long.  A live target that is
+    probed directly answers within milliseconds.  Only targets that no other stream has
+    just passed are probed, so that this costs next to nothing while all targets answer.
     """
     streams = list(streams)
     silent_streams = [item for item in streams if item.silent_s >= item.probe_after_s]
@@ -119,8 +119,8 @@
 ) -> float:
     """Return the time until the next check of the streams can find one too silent.
 
-    Most hosts of a large fleet hold two or three streams that all run normally. Thirty
-    checks a second find nothing there and take a tenth of what such a host spends. A
+    Most hosts of a large fleet hold two or three streams that all run normally.  Thirty
+    checks a second find nothing there and take a tenth of what such a host spends.  A
     stream that just had an event can't be too silent before ``probe_after_s`` is over.
     """
     due_s = min(
--- a/radishfield/routing/admission_queue_test.py
+++ b/radishfield/routing/admission_queue_test.py
@@ -70,7 +70,7 @@
 def test_a_workspace_that_floods_the_host_does_not_keep_the_others_out():
     """One workspace sends four times what fits, and nine others send a little each.
 
-    In order of arrival all of them would get the same quarter. The small ones ask for
+    In order of arrival all of them would get the same quarter.  The small ones ask for
     less than an even share and get nearly all of it.
     """
     rng = random.Random(7)
--- a/radishfield/routing/links_test.py
+++ b/radishfield/routing/links_test.py
@@ -51,7 +51,7 @@
 def test_link_stays_closed_until_its_backlog_is_through():
     """Forty streams change paths at once; sixteen seconds of prompts wait in a link.
 
-    Two seconds later none of them is in the window any more. If the link then counted
+    Two seconds later none of them is in the window any more.  If the link then counted
     as free, it would get the next wave on top, and no stream would be served for as
     long as that lasts.
     """
--- a/radishfield/routing/load_test.py
+++ b/radishfield/routing/load_test.py
@@ -77,9 +77,9 @@
 def test_thirty_hosts_with_few_reports_fill_the_fastest_accelerators(sums, fill_range):
     """Streams are evicted from the accelerators that every host prefers.
 
-    Thirty hosts start three streams each in four seconds, at random times. When each
+    Thirty hosts start three streams each in four seconds, at random times.  When each
     receives the reports of some others, the worst accelerator is sent nearly half more
-    than it holds. With zone totals each knows all of the work a moment late, and sends
+    than it holds.  With zone totals each knows all of the work a moment late, and sends
     a fifth more at the most.
     """
     engine, rng = make_engine(), random.Random(7)
--- a/radishfield/routing/paces_test.py
+++ b/radishfield/routing/paces_test.py
@@ -52,8 +52,8 @@
 def test_slow_target_is_found_within_a_second_by_hosts_with_few_streams():
     """One target of forty turns slow, and does not report it until it is queried.
 
-    Forty hosts have two streams each. Those with a stream through the target query the
-    targets of its path, identify the slow one, and notify the others. While no target
+    Forty hosts have two streams each.  Those with a stream through the target query the
+    targets of its path, identify the slow one, and notify the others.  While no target
     is slow, no host queries any.
     """
     engine, records = fleet()
@@ -68,66 +68,68 @@
 
     queries_before_slowdown = 0
     for _ in range(12):
-        for paces in hosts:
+        for slowdowns in hosts:
             for path in streams():
                 pause = pause_ms(engine, by_id, path, None, rng)
                 expected = path_ms(engine, by_id, load, path)
-                queries_before_slowdown += paces.is_slow(pause, expected)
-                paces.learn(pause, expected)
+                queries_before_slowdown += slowdowns.is_slow(pause, expected)
+                slowdowns.learn(pause, expected)
     assert queries_before_slowdown == 0
 
     slow = "a0"
     found = set()
-    for paces in hosts:
+    for slowdowns in hosts:
         for path in streams():
             pause = pause_ms(engine, by_id, path, slow, rng)
-            if paces.is_slow(pause, path_ms(engine, by_id, load, path)):
+            if slowdowns.is_slow(pause, path_ms(engine, by_id, load, path)):
                 for part in path:
                     slowdown = 3.0 if part.target_id == slow else 1.0
-                    if paces.note(part.target_id, slowdown, 100.0):
+                    if slowdowns.note(part.target_id, slowdown, 100.0):
                         found.add(part.target_id)
     assert found == {slow}
 
 
-def count_paths_through(engine, records, target_id, pace_by_id):
+def count_paths_through(engine, records, target_id, slowdown_by_id):
     """Return how many of 200 paths contain a target."""
     finder = PathFinder(engine, LoadTable(), "a", spread=0.5, rng=random.Random(1))
-    paths = [finder.find(records, DEMAND, pace_by_id=pace_by_id) for _ in range(200)]
+    paths = [
+        finder.find(records, DEMAND, slowdown_by_id=slowdown_by_id) for _ in range(200)
+    ]
     return sum(target_id in {part.target_id for part in path} for path in paths)
 
 
 def test_slow_target_loses_streams_in_proportion_and_gets_them_back():
     engine, records = fleet()
-    paces = SlowdownTable()
-    count_normal = count_paths_through(engine, records, "a0", paces.by_id())
-    paces.note("a0", 1.3, 100.0)
-    count_slightly_slow = count_paths_through(engine, records, "a0", paces.by_id())
-    paces.note("a0", 4.0, 101.0)
-    count_very_slow = count_paths_through(engine, records, "a0", paces.by_id())
+    slowdowns = SlowdownTable()
+    count_normal = count_paths_through(engine, records, "a0", slowdowns.by_id())
+    slowdowns.note("a0", 1.3, 100.0)
+    count_slightly_slow = count_paths_through(engine, records, "a0", slowdowns.by_id())
+    slowdowns.note("a0", 4.0, 101.0)
+    count_very_slow = count_paths_through(engine, records, "a0", slowdowns.by_id())
     assert count_normal > count_slightly_slow > count_very_slow
     assert count_slightly_slow > 0
-    paces.expire(107.0)
-    assert count_paths_through(engine, records, "a0", paces.by_id()) == count_normal
+    slowdowns.expire(107.0)
+    assert count_paths_through(engine, records, "a0", slowdowns.by_id()) == count_normal
 
 
 def test_recovered_target_is_reported_and_then_dropped():
-    paces = SlowdownTable()
-    assert paces.note("t", 3.0, 100.0)
-    assert not paces.note("t", 2.5, 101.0)
-    assert paces.to_ask(102.0) == []
-    assert paces.to_ask(103.1) == ["t"]
-    assert paces.note("t", 1.0, 103.2)
-    assert paces.by_id() == {}
-    assert paces.known(103.2) == [("t", 1.0, 0.0)]
-    paces.expire(109.0)
-    assert paces.known(109.0) == []
+    slowdowns = SlowdownTable()
+    assert slowdowns.note("t", 3.0, 100.0)
+    assert not slowdowns.note("t", 2.5, 101.0)
+    assert slowdowns.to_ask(102.0) == []
+    assert slowdowns.to_ask(103.1) == ["t"]
+    assert slowdowns.note("t", 1.0, 103.2)
+    assert slowdowns.by_id() == {}
+    assert slowdowns.known(103.2) == [("t", 1.0, 0.0)]
+    slowdowns.expire(109.0)
+    assert slowdowns.known(109.0) == []
 
 
 def test_older_report_does_not_replace_a_newer_one():
-    paces = SlowdownTable()
-    paces.note("t", 3.0, 100.0)
-    paces.note("t", 1.0, 99.0)
-    assert paces.by_id() == {"t": 3.0}
+    slowdowns = SlowdownTable()
+    slowdowns.note("t", 3.0, 100.0)
+    slowdowns.note("t", 1.0, 99.0)
+    assert slowdowns.by_id() == {"t": 3.0}
 
 
 @pytest.mark.parametrize("layers", [(0, 40), (0, 80)])
--- a/radishfield/routing/paths_test.py
+++ b/radishfield/routing/paths_test.py
@@ -74,7 +74,7 @@
 def test_any_one_target_may_die_and_each_zone_still_has_a_path(engine):
     """One target dies, which may be the zone's only large one.
 
-    With a fixed chain the zone would lose all of its capacity. Here another target of
+    With a fixed chain the zone would lose all of its capacity.  Here another target of
     any zone runs the same layers.
     """
     records = fleet(engine)
@@ -95,7 +95,7 @@
 def test_load_spreads_over_the_fleet_before_anything_is_refused(engine):
     """Requests come to three zones until the first has no path.
 
-    Memory is the limit. With paths chosen by speed alone, the fast accelerators would
+    Memory is the limit.  With paths chosen by speed alone, the fast accelerators would
     fill first, and requests would be refused while three quarters of the memory are
     idle.
     """
@@ -134,7 +134,7 @@
 def test_a_target_never_occurs_twice_in_a_path(engine):
     """A fast accelerator holds the middle of what a slow one holds.
 
-    The cheapest path by layer would be slow, fast, slow. Targets refuse a path that
+    The cheapest path by layer would be slow, fast, slow.  Targets refuse a path that
     names one of them twice.
     """
     records = [
@@ -164,7 +164,7 @@
         make_target("tail-2", accelerator="a100", span=(40, 80)),
     ]
     finder = PathFinder(engine, LoadTable(), "a")
-    path = finder.find(records, DEMAND, pace_by_id={"tail-1": 5.0})
+    path = finder.find(records, DEMAND, slowdown_by_id={"tail-1": 5.0})
     assert path[1].target_id == "tail-2"
 
 
@@ -200,7 +200,7 @@
 def test_a_full_link_between_zones_is_not_used(engine):
     """A zone lacks a few layers, and its requests cross to another zone and back.
 
-    Each prompt holds the link for 30 ms and every token waits behind it. With a fixed
+    Each prompt holds the link for 30 ms and every token waits behind it.  With a fixed
     price per crossing, the link would fill and all streams would slow down.
     """
     records = [record for record in fleet(engine) if record.zone != "c"]
@@ -282,7 +282,7 @@
     """Two hundred hosts start 150 streams before any receives the others' reports.
 
     Thirty come in each zone, where one path has capacity for about forty beside what it
-    runs already. If all chose the cheapest path, they would fill it at once and be
+    runs already.  If all chose the cheapest path, they would fill it at once and be
     refused.
     """
     records = large_fleet(engine)
@@ -329,7 +329,7 @@
 def test_callers_that_return_at_once_to_restarted_hosts_find_capacity(engine):
     """All hosts crashed; they restart, and 500 callers come in half a second.
 
-    No host knows what the others send. On the cheapest paths the streams would meet at
+    No host knows what the others send.  On the cheapest paths the streams would meet at
     the same fast accelerators, be refused four times, and be rejected while two thirds
     of the fleet's memory is idle.
     """
--- a/radishfield/routing/small_test.py
+++ b/radishfield/routing/small_test.py
@@ -38,7 +38,7 @@
 def test_hosts_together_stay_within_the_retry_budget_while_all_fail(silent):
     """A service fails every request, and nine hosts retry what they can.
 
-    Each receives the others' counts once a second, or not at all. What they send
+    Each receives the others' counts once a second, or not at all.  What they send
     together in any window stays below the ratio of all first attempts plus the slack.
     """
     budgets = [RetryBudget(RetryAllowance(0.2, 10.0, 200.0)) for _ in range(9)]
@@ -186,9 +186,9 @@
     assert step(9.0, True, 0.1, False) == Wait()
 
 
-def silent_stream(target_ids, silent_s, usual_gap_s=0.03, has_events=True):
+def silent_stream(target_ids, silent_s, typical_gap_s=0.03, has_events=True):
     return StreamSilence(
-        tuple(target_ids), silent_s, has_events, usual_gap_s, 0.2, 2.0, 0.2
+        tuple(target_ids), silent_s, has_events, typical_gap_s, 0.2, 2.0, 0.2
     )
 
 
@@ -200,7 +200,7 @@
 def test_only_targets_that_no_other_stream_just_passed_are_probed():
     """Target c dies under two of four streams.
 
-    Both fall silent. Targets a and b still carry events of the others, so only the
+    Both fall silent.  Targets a and b still carry events of the others, so only the
     targets that no other stream uses are probed.
     """
     streams = [
@@ -213,8 +213,11 @@
 
 
 def test_a_slow_path_is_not_taken_for_a_dead_one():
-    assert targets_to_probe([silent_stream("ab", 0.15, usual_gap_s=0.1)]) == set()
-    assert targets_to_probe([silent_stream("ab", 0.21, usual_gap_s=0.1)]) == {"a", "b"}
+    assert targets_to_probe([silent_stream("ab", 0.15, typical_gap_s=0.1)]) == set()
+    assert targets_to_probe([silent_stream("ab", 0.21, typical_gap_s=0.1)]) == {
+        "a",
+        "b",
+    }
 
 
 def test_a_stream_that_was_just_sent_proves_nothing_of_its_targets():
@@ -225,7 +228,7 @@
 def test_a_leaving_host_takes_what_still_ends_in_its_grace():
     """A caller's keep-alive connection brings a long stream late in the grace period.
 
-    If it were accepted, it would be aborted with the process. If it is refused, the
+    If it were accepted, it would be aborted with the process.  If it is refused, the
     caller tries another host at once.
     """
     assert takes_work(None, 8.0, 20.0)
--- a/radishfield/serving/_crash_sharing.py
+++ b/radishfield/serving/_crash_sharing.py
@@ -36,7 +36,7 @@
         self._rng = random.Random()
         self._unsent: dict[str, None] = {}
         self._has_unsent = trio.Event()
-        guard.tell = self._enqueue
+        guard.announce = self._enqueue
         peers.hear(CRASHES_TOPIC, self._receive)
 
     async def run(self, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED):
--- a/radishfield/serving/_run.py
+++ b/radishfield/serving/_run.py
@@ -40,7 +40,7 @@
     started : bool
         Whether any byte of the request may have reached a target, in any
         attempt.  Every answer "not run" depends on it: it is set before a send is
-        tried, and reset only if the failed send proves that no byte arrived.
+        tried, and reset only if the failed send proves that the attempt did not start.
     """
 
     __slots__ = (
--- a/standins/entry_host.py
+++ b/standins/entry_host.py
@@ -101,7 +101,7 @@
             self.peers,
             self.facts,
             clock,
-            chance=rng,
+            rng=rng,
         )
         self.operations = FleetOperations(
             FleetParts(
--- a/standins/routed_targets.py
+++ b/standins/routed_targets.py
@@ -138,7 +138,7 @@
     ----------
     dead : bool
         It forwards and accepts nothing; as a first stage it is silent.
-    cut_after : int
+    abort_after_events : int
         Number of events after which the next stream is aborted, within an event;
         0 for no abort.
     places : int
