--- a/radishfield/forwarding/router_test.py
+++ b/radishfield/forwarding/router_test.py
@@ -458,7 +458,7 @@
         with trio.move_on_after(0.4):
             await testbed.request("/stream/x", "POST", body=b"{}")
         target = testbed.layered[0]
-        await testbed.until(lambda: not target._path_by_request, limit_s=0.5)
+        await testbed.until(lambda: not target._stages_by_request, limit_s=0.5)
         assert testbed.router.view.load.own_by_id == {}
 
     play(tmp_path, scenario)
--- a/radishfield/forwarding/suspicion_test.py
+++ b/radishfield/forwarding/suspicion_test.py
@@ -176,7 +176,7 @@
             used = next(target for target in testbed.layered if target.runs["r1"])
             for target in testbed.layered:
                 target.places = 1
-                target._path_by_request["other"] = []
+                target._stages_by_request["other"] = []
             used.abort_after_events = 1
             await trio.sleep(1.0)
             for target in testbed.layered:
@@ -280,7 +280,7 @@
             used = next(target for target in testbed.layered if target.runs["r1"])
             for target in testbed.layered:
                 target.places = 1
-                target._path_by_request["other"] = []
+                target._stages_by_request["other"] = []
             used.abort_after_events = 1
             await trio.sleep(2.6)
 
